--- a/src/brasstray/table/__init__.py
+++ b/src/brasstray/table/__init__.py
@@ -1,1 +1,1 @@
-"""Keep the operators' table of weights and limits."""
+"""Store the operators' table of weights and limits for each service."""
--- a/src/brasstray/table/errors.py
+++ b/src/brasstray/table/errors.py
@@ -1,4 +1,4 @@
-"""Name what can go wrong with the operators' table."""
+"""Define the exceptions of the operators' table."""
 
 from __future__ import annotations
 
@@ -9,28 +9,29 @@
 
 
 class TableError(Exception):
-    """Base of the table layer's errors."""
+    """Base class of the table's exceptions."""
 
 
 class TableConflictError(TableError):
-    """Another operator changed the table first; nothing was changed."""
+    """Another change has taken the version; the rejected change had no effect."""
 
     def __init__(self, current: Table) -> None:
         super().__init__(
-            f"{current.author} made version {current.version} in the meantime"
+            f"{current.author} has already written version {current.version}"
         )
         self._current = current
 
     @property
     def current(self) -> Table:
-        """Return the table as it stands."""
+        """Return the current table."""
         return self._current
 
 
 class TableUnavailableError(TableError):
-    """The platform gave no reply.
+    """The platform's store could not be reached, or a version could not be read.
 
-    A change may have taken effect; the same change, sent again, is not applied twice.
+    A change may have taken effect. Retrying it with the same token applies it at most
+    once.
     """
 
 
--- a/src/brasstray/table/row.py
+++ b/src/brasstray/table/row.py
@@ -1,4 +1,4 @@
-"""Describe one row of the operators' table."""
+"""Define one row of the operators' table."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TableRow(BaseModel):
-    """Hold what holds for the jobs of a service in a period, or in any (`*`)."""
+    """Hold the settings for a service's jobs in one period, or in any (`*`)."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
--- a/src/brasstray/table/table.py
+++ b/src/brasstray/table/table.py
@@ -1,4 +1,4 @@
-"""Describe the operators' table, whole, at one version."""
+"""Define a version of the operators' table."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Table(BaseModel):
-    """Hold rows, the version, and who changed it last and when."""
+    """Hold one version of the table, with its author and the time of the change."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -26,7 +26,7 @@
 
     @model_validator(mode="after")
     def check_rows(self) -> Table:
-        """Raise ValueError if two rows are for the same service and period."""
+        """Raise ValueError if two rows have the same service and period."""
         seen = set()
         for row in self.rows:
             place = (row.service, row.period)
@@ -36,7 +36,7 @@
         return self
 
     def row(self, service: ServiceName, period: PeriodName) -> TableRow | None:
-        """Return the row for `period`, or else the one for any period."""
+        """Return the row for `period`, falling back to the one for any period."""
         found = None
         for row in self.rows:
             if row.service == service and row.period == period:
--- a/src/brasstray/table/table_store.py
+++ b/src/brasstray/table/table_store.py
@@ -1,4 +1,4 @@
-"""Keep the table and its history in the platform."""
+"""Store the table and its history in the platform's key-value store."""
 
 from __future__ import annotations
 
@@ -17,18 +17,18 @@
 
 
 class TableStore:
-    """Keep each version as an entry of its own, created once.
+    """Store each version of the table as a separate entry that is never overwritten.
 
-    The newest entry is the table. Versions without a gap are the history, and an entry
-    that was created is never written again, so an accepted change can't be undone by a
-    late write.
+    The newest entry is the current table, and the older ones are its history, without
+    gaps. Since entries are created once and never overwritten, a delayed write can't
+    undo an accepted change.
     """
 
     def __init__(self, store: Store) -> None:
         self._store = store
 
     async def read(self, after: int = 0) -> list[Table]:
-        """Return the versions beyond `after`, oldest first."""
+        """Return the versions after `after`, oldest first."""
         tables: list[Table] = []
         last = _name(after) if after else _PREFIX
         try:
@@ -40,9 +40,9 @@
         return tables
 
     async def change(self, wanted: Table) -> Table:
-        """Make `wanted` the table and return it.
+        """Store `wanted` as the new version of the table and return it.
 
-        Raise TableConflictError if its version was taken by another change.
+        Raise TableConflictError if another change already has that version.
         """
         value = wanted.model_dump_json().encode()
         try:
@@ -54,13 +54,15 @@
         return wanted
 
     async def _settle(self, wanted: Table) -> Table:
-        # Guards against a change whose reply was lost and that is sent again: it meets
-        # itself, which its token tells, and is neither applied twice nor refused.
+        # A change whose reply was lost is sent again and conflicts with itself. The
+        # token identifies it, so it is neither applied twice nor rejected.
         tables = await self.read(wanted.version - 1)
         if tables and tables[0].token == wanted.token:
             return tables[0]
         if not tables:
-            raise TableUnavailableError(f"version {wanted.version} is not readable")
+            raise TableUnavailableError(
+                f"version {wanted.version} exists but could not be read"
+            )
         raise TableConflictError(tables[-1])
 
 
--- a/tests/table/test_table_spread.py
+++ b/tests/table/test_table_spread.py
@@ -1,4 +1,4 @@
-"""Play the stories of the operators' table on a virtual clock."""
+"""Test how changes to the operators' table reach all hosts, on a virtual clock."""
 
 from __future__ import annotations
 
@@ -41,10 +41,10 @@
 
 
 def test_operators_who_race_lose_nothing(play):
-    """Two operators read version 0 and both change the table.
+    """Guard against a lost update when two operators edit the same version.
 
-    One is accepted. The other is told what stands now, and nothing of the first one's
-    change is overwritten. Cause: both edits are based on the same version.
+    Both changes are based on version 0. One is accepted, and the other is rejected
+    with the current table and overwrites nothing.
     """
 
     async def story(system):
@@ -71,10 +71,10 @@
 
 
 def test_a_change_whose_reply_is_lost_is_applied_once(play):
-    """The platform takes a change but its reply is lost.
+    """Guard against a change that is applied twice or rejected on a retry.
 
-    The operator's command sends the same change again. It must be told accepted, and
-    the history must have it once. Cause: a reply lost after the write took effect.
+    The platform writes the change but its reply is lost, so the operator's command
+    sends it again. The retry succeeds, and the history contains the change once.
     """
 
     async def story(system):
@@ -90,10 +90,10 @@
 
 
 def test_a_cut_off_data_centre_keeps_its_table_until_it_heals(play):
-    """A data centre is cut off; operators change the table elsewhere.
+    """Check a change made while one data centre is partitioned from the others.
 
-    Inside, the old table goes on being in force, since nobody can tell of the new one.
-    When the cut ends the new one is in force within seconds, and stays.
+    Hosts inside the partition can't learn of the new version and keep the old one.
+    They adopt the new version within seconds after the partition heals.
     """
 
     async def story(system):
@@ -117,10 +117,11 @@
 
 
 def test_a_host_that_starts_serves_nobody_before_it_knows_the_table(play):
-    """An entry host is replaced while the platform is down.
+    """Guard against a host that starts without the table and uses an empty one.
 
-    Until the platform or a peer has told it the table it accepts nothing: with an
-    empty one it would run jobs of a service that operators have closed.
+    An entry host restarts while the platform is down. It must accept no job until it
+    has the table from the platform or a peer, since with an empty table it would run
+    jobs of a service that operators have closed.
     """
 
     async def story(system):
@@ -159,10 +160,10 @@
 
 
 def test_closing_a_service_does_not_deny_a_job_that_ran(play):
-    """A leave settlement is done; operators close the service; the manager asks again.
+    """Guard against a "refused, not run" answer for a job that has already run.
 
-    "Refused, not run" would be untrue of the key. The answer is told as before, at the
-    host that ran it and at others, and only new jobs are refused.
+    Operators close the service after a job is complete, and the caller repeats its
+    request. Every host returns the recorded answer, and only new jobs are refused.
     """
 
     async def story(system):
