--- a/src/brasstray/table/row.py
+++ b/src/brasstray/table/row.py
@@ -8,7 +8,7 @@
 from brasstray.job.request import MAX_DEADLINE, MAX_TASKS
 
 ANY_PERIOD = PeriodName("*")
-_NAME = r"^[A-Za-z0-9_.*-]{1,64}$"
+_NAME_PATTERN = r"^[A-Za-z0-9_.*-]{1,64}$"
 
 
 class TableRow(BaseModel):
@@ -16,8 +16,8 @@
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
-    service: ServiceName = Field(pattern=_NAME)
-    period: PeriodName = Field(default=ANY_PERIOD, pattern=_NAME)
+    service: ServiceName = Field(pattern=_NAME_PATTERN)
+    period: PeriodName = Field(default=ANY_PERIOD, pattern=_NAME_PATTERN)
     weight: float = Field(default=1.0, gt=0, le=1_000)
     open: bool = True
     repeatable: bool = False
--- a/src/brasstray/table/table.py
+++ b/src/brasstray/table/table.py
@@ -25,14 +25,14 @@
     token: str = ""
 
     @model_validator(mode="after")
-    def check_rows(self) -> Table:
+    def reject_duplicate_rows(self) -> Table:
         """Raise ValueError if two rows have the same service and period."""
         seen = set()
         for row in self.rows:
-            place = (row.service, row.period)
-            if place in seen:
+            key = (row.service, row.period)
+            if key in seen:
                 raise ValueError(f"two rows for {row.service}, {row.period}")
-            seen.add(place)
+            seen.add(key)
         return self
 
     def row(self, service: ServiceName, period: PeriodName) -> TableRow | None:
--- a/src/brasstray/table/table_store.py
+++ b/src/brasstray/table/table_store.py
@@ -13,7 +13,7 @@
     from brasstray.store.store import Store
 
 _PREFIX = "table/"
-_DIGITS = 12
+_VERSION_DIGITS = 12
 
 
 class TableStore:
@@ -39,35 +39,35 @@
             raise TableUnavailableError(str(error)) from error
         return tables
 
-    async def change(self, wanted: Table) -> Table:
-        """Store `wanted` as the new version of the table and return it.
+    async def change(self, proposed: Table) -> Table:
+        """Store `proposed` as the new version of the table and return it.
 
         Raise TableConflictError if another change already has that version.
         """
-        value = wanted.model_dump_json().encode()
+        value = proposed.model_dump_json().encode()
         try:
-            await self._store.swap(_name(wanted.version), value, ABSENT)
+            await self._store.swap(_name(proposed.version), value, ABSENT)
         except StoreUnavailableError as error:
             raise TableUnavailableError(str(error)) from error
         except StoreConflictError:
-            return await self._settle(wanted)
-        return wanted
+            return await self._resolve_conflict(proposed)
+        return proposed
 
-    async def _settle(self, wanted: Table) -> Table:
+    async def _resolve_conflict(self, proposed: Table) -> Table:
         # A change whose reply was lost is sent again and conflicts with itself. The
         # token identifies it, so it is neither applied twice nor rejected.
-        tables = await self.read(wanted.version - 1)
-        if tables and tables[0].token == wanted.token:
+        tables = await self.read(proposed.version - 1)
+        if tables and tables[0].token == proposed.token:
             return tables[0]
         if not tables:
             raise TableUnavailableError(
-                f"version {wanted.version} exists but could not be read"
+                f"version {proposed.version} exists but could not be read"
             )
         raise TableConflictError(tables[-1])
 
 
 def _name(version: int) -> str:
-    return f"{_PREFIX}{version:0{_DIGITS}d}"
+    return f"{_PREFIX}{version:0{_VERSION_DIGITS}d}"
 
 
 __all__ = ["TableStore"]
