--- a/src/brasstray/journal/__init__.py
+++ b/src/brasstray/journal/__init__.py
@@ -1,1 +1,1 @@
-"""Keep a data centre's journal of bindings, answers and fences."""
+"""Keep a data centre's journal of key bindings, answers and fences."""
--- a/src/brasstray/journal/backlog.py
+++ b/src/brasstray/journal/backlog.py
@@ -1,4 +1,4 @@
-"""Queue the records that the platform does not have yet."""
+"""Queue records that are not yet written to the platform."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 
 class Backlog:
-    """Number records and keep them, first in first out, until they are flushed."""
+    """Hold numbered records, first in first out, until they are flushed.
+
+    A record is flushed when the platform has it. It is committed when the platform or,
+    in an outage, a replica has it.
+    """
 
     def __init__(self) -> None:
         self._numbers = count()
@@ -27,38 +31,38 @@
 
     @property
     def last(self) -> PendingRecord | None:
-        """Return the record added last."""
+        """Return the last item of the queue."""
         return self._pending[-1] if self._pending else None
 
     def add(self, record: Record) -> PendingRecord:
-        """Queue `record`."""
+        """Append `record` and return its queue item."""
         pending = PendingRecord(next(self._numbers), record)
         self._pending.append(pending)
         self.notify()
         return pending
 
     def add_notice(self) -> PendingRecord:
-        """Queue a notice without a record, ahead of the records."""
+        """Insert an item without a record, which marks an outage, before all others."""
         notice = PendingRecord(next(self._numbers), None)
         self._pending.appendleft(notice)
         self.notify()
         return notice
 
     def next_number(self) -> int:
-        """Return a number above all that were given."""
+        """Return a number greater than every number assigned so far."""
         return next(self._numbers)
 
     def records(self, limit: int) -> list[Record]:
-        """Return the first `limit` records."""
+        """Return up to `limit` records from the head of the queue."""
         records = (p.record for p in self._pending if p.record is not None)
         return [record for record, _ in zip(records, range(limit), strict=False)]
 
     def beyond(self, number: int) -> dict[int, Record | None]:
-        """Return what is queued with a number above `number`."""
+        """Return the records of queued items above `number`, by number."""
         return {p.number: p.record for p in self._pending if p.number > number}
 
     def flushed(self, record_count: int) -> None:
-        """Commit and drop the first `record_count` records and notices before them."""
+        """Remove the first `record_count` records, now flushed, and leading markers."""
         left = record_count
         while self._pending and (left or self._pending[0].record is None):
             pending = self._pending.popleft()
@@ -67,13 +71,13 @@
             pending.settled.set()
 
     def copied(self, number: int) -> None:
-        """Commit, but keep, what is queued with a number up to `number`."""
+        """Mark items up to `number` as committed, but keep them until flushed."""
         for pending in self._pending:
             if pending.number <= number:
                 pending.settled.set()
 
     def abandon(self) -> None:
-        """Settle what is not committed as never to be committed by this term."""
+        """Mark every queued item as abandoned and wake the tasks that wait for it."""
         for pending in self._pending:
             pending.abandoned = True
             pending.flushed.set()
@@ -81,7 +85,7 @@
         self.notify()
 
     def notify(self) -> None:
-        """Wake what waits for a change."""
+        """Wake all tasks that wait for a change."""
         self._changed.set()
         self._changed = anyio.Event()
 
--- a/src/brasstray/journal/errors.py
+++ b/src/brasstray/journal/errors.py
@@ -1,4 +1,4 @@
-"""Name what can go wrong with a data centre's journal."""
+"""Define the journal's exceptions."""
 
 from __future__ import annotations
 
@@ -9,18 +9,18 @@
 
 
 class JournalError(Exception):
-    """Base of the journal layer's errors."""
+    """Base class of the journal's exceptions."""
 
 
 class DeposedError(JournalError):
-    """Another host has begun a later term."""
+    """The leader's term has ended."""
 
 
 class NewerTermError(JournalError):
-    """The journal has a later term than the one that was to be replaced."""
+    """The journal already contains a later term than the one to be replaced."""
 
     def __init__(self, term: int, leader: IncarnationId) -> None:
-        super().__init__(f"{leader} leads term {term}")
+        super().__init__(f"{leader} already leads term {term}")
         self._term = term
         self._leader = leader
 
@@ -31,28 +31,28 @@
 
     @property
     def leader(self) -> IncarnationId:
-        """Return its leader."""
+        """Return the leader of the later term."""
         return self._leader
 
 
 class CommitUnavailableError(JournalError):
-    """Neither the platform nor a replica took the records."""
+    """The record was not confirmed in time; it may still be committed later."""
 
 
 class JournalUnavailableError(JournalError):
-    """The journal could not be read or written; the outcome may be unknown."""
+    """The journal could not be read or written; a write may have taken effect."""
 
 
 class ReplicaUnreachableError(JournalError):
-    """A replica gave no reply; it may or may not have kept what was sent."""
+    """A replica did not reply; it may or may not have stored the copies."""
 
 
 class JournalInDoubtError(JournalError):
-    """The key may have been bound by a leader whose records are lost."""
+    """The key may have been bound by an earlier leader whose records are lost."""
 
 
 class KeyForgottenError(JournalError):
-    """The key has expired and what the journal knew of it is gone."""
+    """The key has expired and its journal records have been removed."""
 
 
 __all__ = [
--- a/src/brasstray/journal/journal.py
+++ b/src/brasstray/journal/journal.py
@@ -1,4 +1,4 @@
-"""Read and append the segments of a data centre's journal in the platform."""
+"""Read and append the segments of a data centre's journal in the platform's store."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class Journal:
-    """Keep numbered segments, each written once by compare-and-swap."""
+    """Store numbered segments, each created once by compare-and-swap."""
 
     def __init__(self, store: Store, data_centre: DataCentreName) -> None:
         self._store = store
@@ -32,9 +32,9 @@
     async def append(self, index: int, segment: Segment) -> Segment:
         """Write `segment` at `index` and return it.
 
-        Return an earlier segment instead if the same term has already written one
-        there. Raise DeposedError if another term has, and JournalUnavailableError
-        if the platform does not tell.
+        If the same writer and term have already written a segment there, return that
+        one. Raise DeposedError if another term has, and JournalUnavailableError if
+        the outcome is unknown.
         """
         value = cbor2.dumps(segment.model_dump(mode="json"))
         try:
@@ -46,22 +46,24 @@
         return segment
 
     async def _settle(self, index: int, segment: Segment) -> Segment:
-        # Guards against a write whose reply was lost: the retry meets a conflict
-        # with itself. Reading back tells the two apart, since a segment is never
-        # overwritten and names its writer and term.
+        # A write whose reply was lost conflicts with its own retry. Reading the segment
+        # back distinguishes this from a write by another leader, since a segment is
+        # never overwritten and contains its writer and term.
         try:
             entry = await self._store.get(self._name(index))
         except StoreUnavailableError as error:
             raise JournalUnavailableError(str(error)) from error
         if entry is None:
-            raise DeposedError(f"segment {index} was already dropped")
+            raise DeposedError(f"segment {index} was written and has been deleted")
         found = _decode(entry.value)
         if (found.term, found.writer) != (segment.term, segment.writer):
-            raise DeposedError(f"term {found.term} of {found.writer} wrote {index}")
+            raise DeposedError(
+                f"term {found.term} of {found.writer} has written segment {index}"
+            )
         return found
 
     async def read(self, after: int) -> list[tuple[int, Segment]]:
-        """Return every segment beyond index `after`, in order."""
+        """Return all segments with an index greater than `after`, in order."""
         found: list[tuple[int, Segment]] = []
         last = self._name(after) if after >= 0 else ""
         try:
@@ -76,14 +78,14 @@
         return found
 
     async def drop(self, index: int) -> None:
-        """Remove the segment at `index`."""
+        """Delete the segment at `index`."""
         try:
             await self._store.delete(self._name(index))
         except StoreUnavailableError as error:
             raise JournalUnavailableError(str(error)) from error
 
     async def mark(self) -> int:
-        """Return the version of the leader's mark."""
+        """Return the version of the lease entry, which changes with each renewal."""
         try:
             entry = await self._store.get(self._mark_name)
         except StoreUnavailableError as error:
@@ -91,7 +93,7 @@
         return entry.version if entry is not None else ABSENT
 
     async def renew_mark(self) -> None:
-        """Write the leader's mark anew."""
+        """Rewrite the lease entry, so that its version changes."""
         version = await self.mark()
         try:
             await self._store.swap(self._mark_name, b"", version)
--- a/src/brasstray/journal/key_entry.py
+++ b/src/brasstray/journal/key_entry.py
@@ -1,4 +1,4 @@
-"""Hold what a journal knows of one key, in little memory."""
+"""Define the in-memory state of one key."""
 
 from __future__ import annotations
 
@@ -12,9 +12,10 @@
 
 @dataclass(slots=True)
 class KeyEntry:
-    """Hold a key's expiry in seconds since 1970, its binding and its answer.
+    """Hold a key's expiry (in Unix seconds), its binding and its answer.
 
-    Millions are held at a time, so digests are bytes and executors are shared.
+    Millions of entries are held in memory, so digests are bytes and equal executor ids
+    are one object.
     """
 
     expires: int
--- a/src/brasstray/journal/leader.py
+++ b/src/brasstray/journal/leader.py
@@ -1,4 +1,4 @@
-"""Commit a data centre's records in order and answer from them."""
+"""Commit a data centre's records in order, and answer queries from them."""
 
 from __future__ import annotations
 
@@ -28,10 +28,11 @@
 
 
 class Leader:
-    """Order what the hosts of a data centre ask for, and reply once it is committed.
+    """Serialize the requests of a data centre's hosts and reply after commit.
 
-    State is applied when a record is queued, so that two hosts that ask at once get
-    one binding; nobody is told of a record before it is committed.
+    A record is applied to the state when it is queued, so that two hosts that ask
+    concurrently get the same binding. No reply depends on a record before the record
+    is committed.
     """
 
     def __init__(
@@ -49,19 +50,19 @@
 
     @property
     def writer(self) -> Writer:
-        """Return what writes this leader's records."""
+        """Return the writer of this leader's records."""
         return self._writer
 
     @property
     def remembered(self) -> int:
-        """Return how many bindings and answers are held in memory."""
+        """Return the number of keys held in memory."""
         return len(self._state)
 
     async def bind(self, wanted: Bound) -> Bound:
-        """Return the binding of a job, which is `wanted` if it had none.
+        """Return the committed binding of a job: an earlier one, or else `wanted`.
 
         Raise KeyForgottenError, JournalInDoubtError, CommitUnavailableError or
-        DeposedError; after the last two the key may be bound.
+        DeposedError; after the last two, the key may have been bound.
         """
         found = self._state.bound(wanted.job)
         if found is None:
@@ -73,20 +74,28 @@
 
     def _check_bindable(self, expires: datetime) -> None:
         if expires <= self._state.horizon:
-            raise KeyForgottenError(f"keys up to {self._state.horizon} are forgotten")
+            raise KeyForgottenError(
+                f"records of keys that expire by {self._state.horizon} were removed"
+            )
         if expires <= self._state.doubtful_until:
-            raise JournalInDoubtError(f"until {self._state.doubtful_until}")
-        # Guards against a key that a later leader's doubt would not cover: the
-        # journal must first say that keys of this expiry can be bound.
+            raise JournalInDoubtError(
+                f"records of keys that expire by {self._state.doubtful_until} may"
+                " be lost"
+            )
+        # If copies are lost, a later leader treats unknown keys that expire by the
+        # journal's accept_until as in doubt. A key with a later expiry would be bound
+        # again, so the journal must raise accept_until before it is bound.
         if expires > self._writer.accept_until:
             self._writer.extend()
-            raise CommitUnavailableError("the journal does not allow this expiry yet")
+            raise CommitUnavailableError(
+                "the journal does not yet accept keys with this expiry"
+            )
 
     async def answer(self, wanted: Answered) -> Answered | None:
-        """Commit the answer `wanted` and return it, or the one committed before.
+        """Commit the answer `wanted` and return it, or an answer committed earlier.
 
-        Return None if the executor is fenced or the key forgotten: others may
-        already have told the caller so.
+        Return None if the executor is fenced or the key's records have been removed,
+        as another host may already have reported this to the caller.
         """
         found = self._state.answered(wanted.job)
         forgotten = wanted.expires <= self._state.horizon
@@ -97,16 +106,16 @@
         return wanted
 
     async def fence(self, incarnation: IncarnationId) -> None:
-        """End the right of `incarnation` to commit answers.
+        """Revoke the right of `incarnation` to commit answers.
 
-        Guards against a fence that is lost with its leader and replicas: callers told
-        of it would contradict an answer that a later leader commits. So no fence is
-        told of before the platform has it; in an outage nobody is fenced.
+        If a fence were lost with the leader and its replicas, a later leader could
+        commit an answer that contradicts what callers were told. A fence therefore
+        counts only once the platform has it, and none can be made in an outage.
         """
         if incarnation in self._flushed_fences:
             return
         if self._writer.offline:
-            raise CommitUnavailableError("nobody is fenced while offline")
+            raise CommitUnavailableError("fencing needs the platform, which is down")
         self._check_term()
         self._state.apply(Fenced(incarnation=incarnation))
         pending = self._backlog.add(Fenced(incarnation=incarnation))
@@ -114,34 +123,34 @@
         self._flushed_fences.add(incarnation)
 
     async def look_up(self, job: JobId) -> tuple[Bound | None, Answered | None]:
-        """Return what is committed of `job`."""
+        """Return the committed binding and answer of `job`."""
         found = self._state.bound(job), self._state.answered(job)
         await self._settle()
         return found
 
     def is_fenced(self, incarnation: IncarnationId) -> bool:
-        """Tell whether the platform has a fence of `incarnation`."""
+        """Return whether the platform has a fence for `incarnation`."""
         return incarnation in self._flushed_fences
 
     def is_forgotten(self, expires: datetime) -> bool:
-        """Tell whether nothing is known any more of a key that expires then."""
+        """Return whether the records of keys with this expiry have been removed."""
         return expires <= self._state.horizon
 
     def in_doubt(self, expires: datetime) -> bool:
-        """Tell whether lost records may concern a key that expires then."""
+        """Return whether records of keys with this expiry may have been lost."""
         return expires <= self._state.doubtful_until
 
     async def release(self) -> None:
-        """End the term with everything flushed, so that no replica need be asked.
+        """End the term with all records flushed, so that no replica must be queried.
 
-        Raise CommitUnavailableError if the platform does not confirm in time.
+        Raise CommitUnavailableError if the platform does not confirm this in time.
         """
         with anyio.move_on_after(self._timing.commit_patience.total_seconds()):
             while self._writer.offline and not self._writer.deposed:
                 await self._backlog.changed()
             await self._commit(Released(term=self._writer.term))
             return
-        raise CommitUnavailableError("the platform does not confirm the release")
+        raise CommitUnavailableError("the platform did not confirm the term's end")
 
     async def _commit(self, record: Record) -> None:
         self._check_term()
@@ -150,8 +159,8 @@
         await self._wait_for(pending.settled, pending)
 
     async def _settle(self) -> None:
-        # Guards against telling what a later leader may not know: state is applied
-        # before it is committed, so a reader waits for the record queued last.
+        # Records are applied to the state before they are committed, so a reader could
+        # see one that a later leader won't have. It waits for the last queued record.
         self._check_term()
         last = self._backlog.last
         if last is not None:
@@ -163,7 +172,7 @@
         if pending.abandoned:
             raise DeposedError(f"term {self._writer.term} has ended")
         if not event.is_set():
-            raise CommitUnavailableError("neither platform nor replica confirmed")
+            raise CommitUnavailableError("no platform or replica confirmed in time")
 
     def _check_term(self) -> None:
         if self._writer.deposed:
--- a/src/brasstray/journal/lease.py
+++ b/src/brasstray/journal/lease.py
@@ -1,4 +1,4 @@
-"""Show through the platform that a leader is alive."""
+"""Keep the leader's lease in the platform's store."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class Lease:
-    """Renew a mark in the platform, or watch whether another host renews it.
+    """Renew the lease entry, or observe whether another host renews it.
 
-    No safety rests on it: it only keeps hosts that hear few peers from deposing a
-    leader that works.
+    Safety does not depend on it. It only prevents a host that is partitioned from most
+    of its peers from deposing a healthy leader.
     """
 
     def __init__(self, journal: Journal, clock: Clock, timing: JournalTiming) -> None:
@@ -28,14 +28,14 @@
         self._timing = timing
 
     async def keep(self) -> None:
-        """Renew the mark until cancelled."""
+        """Renew the lease until cancelled."""
         while True:
             with suppress(JournalUnavailableError):
                 await self._journal.renew_mark()
             await self._clock.sleep(self._timing.lease_interval)
 
     async def is_renewed(self) -> bool:
-        """Tell whether the mark changes while it is watched."""
+        """Watch the lease for a few intervals and return whether it was renewed."""
         before = await self._journal.mark()
         await self._clock.sleep(self._timing.lease_interval * PATIENCE_FACTOR)
         return await self._journal.mark() != before
--- a/src/brasstray/journal/offline_period.py
+++ b/src/brasstray/journal/offline_period.py
@@ -1,4 +1,4 @@
-"""Commit a leader's records by replicas while the platform cannot be reached."""
+"""Commit a leader's records through replicas while the platform is unavailable."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 
 class OfflinePeriod:
-    """Copy a backlog to each replica from the moment the platform is lost."""
+    """Copy the backlog to each replica for the duration of a platform outage."""
 
     def __init__(
         self,
@@ -40,14 +40,14 @@
         self._scope = anyio.CancelScope()
 
     async def run(self) -> None:
-        """Copy until ended; raise DeposedError if a replica has fenced the term."""
+        """Copy until `end` is called; raise DeposedError if the term is fenced."""
         with self._scope:
             async with anyio.create_task_group() as group:
                 for replica in self._started.replicas:
                     group.start_soon(self._copy_to, replica)
 
     async def end(self) -> None:
-        """Stop copying and let the replicas forget, everything being flushed."""
+        """Stop copying and delete the copies, after all records have been flushed."""
         self._scope.cancel()
         below = self._backlog.next_number()
         for replica in self._started.replicas:
@@ -68,14 +68,16 @@
                 await self._clock.sleep(self._timing.replica_retry)
                 continue
             if not held:
-                raise DeposedError(f"{replica} has fenced term {self._started.term}")
+                raise DeposedError(
+                    f"replica {replica} has fenced term {self._started.term}"
+                )
             self._acked[replica] = max(copies)
             self._commit_copied()
 
     def _commit_copied(self) -> None:
-        # Guards against a later leader that meets only a replica which knows nothing
-        # of this outage and so takes a bound key for a new one: nothing counts as
-        # committed until every replica has the notice.
+        # A later leader that reaches only a replica without any item of this outage
+        # concludes that there was none, and would bind a bound key again. So no record
+        # counts as committed until every replica has the outage's first item.
         if min(self._acked.values()) >= self._notice.number:
             self._backlog.copied(max(self._acked.values()))
 
--- a/src/brasstray/journal/pending.py
+++ b/src/brasstray/journal/pending.py
@@ -1,4 +1,4 @@
-"""Hold a record until it is committed."""
+"""Define an item of the backlog."""
 
 from __future__ import annotations
 
@@ -13,7 +13,11 @@
 
 @dataclass
 class PendingRecord:
-    """Hold a record, or a notice without one, until committed or abandoned."""
+    """Hold a queued record, or None for the marker of an outage.
+
+    `settled` is set when the record is committed or abandoned, and `flushed` when the
+    platform has it or it is abandoned.
+    """
 
     number: int
     record: Record | None
--- a/src/brasstray/journal/record/__init__.py
+++ b/src/brasstray/journal/record/__init__.py
@@ -1,1 +1,1 @@
-"""Hold one kind of journal record a module."""
+"""Define the journal's record types, one per module."""
--- a/src/brasstray/journal/record/answered.py
+++ b/src/brasstray/journal/record/answered.py
@@ -1,4 +1,4 @@
-"""Record the only answer that may be told of a job."""
+"""Record the only answer that may be given to a job's caller."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Answered(JournalRecord):
-    """Record the only answer that may be told of a job."""
+    """Record the only answer that may be given to a job's caller."""
 
     kind: Literal["answered"] = "answered"
     job: JobId
--- a/src/brasstray/journal/record/bound.py
+++ b/src/brasstray/journal/record/bound.py
@@ -1,4 +1,4 @@
-"""Bind a caller's own key to the only incarnation that may start its tasks."""
+"""Bind a caller's key to the only incarnation that may start the job's tasks."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Bound(JournalRecord):
-    """Bind a caller's own key to the only incarnation that may start its tasks."""
+    """Bind a caller's key to the only incarnation that may start the job's tasks."""
 
     kind: Literal["bound"] = "bound"
     job: JobId
--- a/src/brasstray/journal/record/doubtful.py
+++ b/src/brasstray/journal/record/doubtful.py
@@ -1,4 +1,4 @@
-"""Mark keys that expire by `until` and are not in the journal as in doubt."""
+"""Mark keys that expire by `until` and have no record as in doubt."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Doubtful(JournalRecord):
-    """Mark keys that expire by `until` and are not in the journal as in doubt."""
+    """Mark keys that expire by `until` and have no record as in doubt."""
 
     kind: Literal["doubtful"] = "doubtful"
     until: datetime
--- a/src/brasstray/journal/record/fenced.py
+++ b/src/brasstray/journal/record/fenced.py
@@ -1,4 +1,4 @@
-"""End the right of an incarnation to commit answers."""
+"""Revoke an incarnation's right to commit answers."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Fenced(JournalRecord):
-    """End the right of an incarnation to commit answers."""
+    """Revoke an incarnation's right to commit answers."""
 
     kind: Literal["fenced"] = "fenced"
     incarnation: IncarnationId
--- a/src/brasstray/journal/record/journal_record.py
+++ b/src/brasstray/journal/record/journal_record.py
@@ -1,4 +1,4 @@
-"""Keep a record from being changed."""
+"""Define the immutable base class of journal records."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class JournalRecord(BaseModel):
-    """Keep a record from being changed."""
+    """Define the immutable base class of journal records."""
 
     model_config = ConfigDict(frozen=True)
 
--- a/src/brasstray/journal/record/recovered.py
+++ b/src/brasstray/journal/record/recovered.py
@@ -1,4 +1,4 @@
-"""Tell that all earlier terms are in the journal or marked as in doubt."""
+"""Mark all earlier terms as recovered: in the journal, or marked as in doubt."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Recovered(JournalRecord):
-    """Tell that all earlier terms are in the journal or marked as in doubt."""
+    """Mark all earlier terms as recovered: in the journal, or marked as in doubt."""
 
     kind: Literal["recovered"] = "recovered"
     term: int
--- a/src/brasstray/journal/record/released.py
+++ b/src/brasstray/journal/record/released.py
@@ -1,4 +1,4 @@
-"""End a leader's own term with nothing unflushed."""
+"""End a term by its own leader, with all of the term's records flushed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Released(JournalRecord):
-    """End a leader's own term with nothing unflushed."""
+    """End a term by its own leader, with all of the term's records flushed."""
 
     kind: Literal["released"] = "released"
     term: int
--- a/src/brasstray/journal/record/term_started.py
+++ b/src/brasstray/journal/record/term_started.py
@@ -1,4 +1,4 @@
-"""Begin a leader's term and end the one before it."""
+"""Start a leader's term and end the previous one."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TermStarted(JournalRecord):
-    """Begin a leader's term and end the one before it."""
+    """Start a leader's term and end the previous one."""
 
     kind: Literal["term"] = "term"
     term: int
--- a/src/brasstray/journal/records.py
+++ b/src/brasstray/journal/records.py
@@ -1,4 +1,4 @@
-"""Join the kinds of records that a journal holds."""
+"""Combine the journal's record types in a tagged union."""
 
 from __future__ import annotations
 
--- a/src/brasstray/journal/replica.py
+++ b/src/brasstray/journal/replica.py
@@ -1,4 +1,4 @@
-"""Hold copies of a leader's records while the platform cannot be reached."""
+"""Hold copies of a leader's records while the platform is unavailable."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class Replica:
-    """Keep unflushed records by term and number; refuse those of replaced terms.
+    """Store unflushed records by term and number, and reject those of fenced terms.
 
-    A number without a record is a leader's notice that it has gone offline.
+    A number without a record marks the start of a platform outage.
     """
 
     def __init__(self) -> None:
@@ -22,11 +22,11 @@
         return sum(len(copies) for copies in self._copies.values())
 
     def hold(self, term: int, copies: dict[int, Record | None]) -> bool:
-        """Keep `copies`; return False, keeping nothing, if the term is fenced.
+        """Store `copies`; if the term is fenced, return False and store nothing.
 
-        Guards against a copy that arrives after its leader was replaced: its key
-        would be started by two executors. The new leader fences the term here before
-        it binds any key, so the old leader never gets the word it needs.
+        If a copy were accepted after its leader was replaced, two executors could
+        start the tasks of one key. The new leader fences the term here before it binds
+        any key, so the old leader can't get the confirmation it needs.
         """
         if term <= self._fenced_term:
             return False
@@ -34,10 +34,10 @@
         return True
 
     def drop(self, term: int, below: int) -> None:
-        """Forget copies of `term` numbered under `below`: they are flushed.
+        """Delete the copies of `term` with numbers less than `below`, once flushed.
 
-        Guards against a drop that is overtaken by a later notice: a notice has a
-        number of its own, so an old drop never reaches it.
+        A delayed call must not delete the marker of a later outage. Markers are
+        numbered like records, so that marker's number is never less than `below`.
         """
         copies = self._copies.get(term, {})
         for number in [number for number in copies if number < below]:
@@ -46,7 +46,7 @@
             self._copies.pop(term, None)
 
     def fence(self, term: int) -> list[Record] | None:
-        """Refuse `term` from now on; return its copies, or None if it sent none."""
+        """Reject `term` from now on; return its records, or None if it sent nothing."""
         self._fenced_term = max(self._fenced_term, term)
         copies = self._copies.get(term)
         if copies is None:
--- a/src/brasstray/journal/replicas.py
+++ b/src/brasstray/journal/replicas.py
@@ -1,4 +1,4 @@
-"""Define how a leader reaches its replicas."""
+"""Define the interface through which a leader calls its replicas."""
 
 from __future__ import annotations
 
@@ -10,21 +10,21 @@
 
 
 class Replicas(Protocol):
-    """Send copies to replicas; each call may raise ReplicaUnreachableError."""
+    """Call replicas; `hold`, `drop` and `fence` may raise ReplicaUnreachableError."""
 
     async def hold(
         self, replica: IncarnationId, term: int, copies: dict[int, Record | None]
     ) -> bool:
-        """Return whether `replica` keeps `copies`; False if `term` is fenced there."""
+        """Store `copies` at `replica`; return False if `term` is fenced there."""
 
     async def drop(self, replica: IncarnationId, term: int, below: int) -> None:
-        """Let `replica` forget what is flushed."""
+        """Delete the copies of `term` numbered less than `below`, which are flushed."""
 
     async def fence(self, replica: IncarnationId, term: int) -> list[Record] | None:
         """Fence `term` at `replica`; return its copies, or None if it has none."""
 
     def live(self) -> list[IncarnationId]:
-        """Return the data centre's other hosts that can be replicas, best first."""
+        """Return the other hosts that can be replicas, in order of preference."""
 
 
 __all__ = ["Replicas"]
--- a/src/brasstray/journal/segment.py
+++ b/src/brasstray/journal/segment.py
@@ -1,4 +1,4 @@
-"""Hold the records of one write to the journal."""
+"""Hold the records of one journal write."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Segment(BaseModel):
-    """Hold the records of one write to the journal."""
+    """Hold the records of one journal write."""
 
     model_config = ConfigDict(frozen=True)
 
--- a/src/brasstray/journal/state.py
+++ b/src/brasstray/journal/state.py
@@ -1,4 +1,4 @@
-"""Hold what the records of a journal amount to."""
+"""Compute the state that results from a journal's records."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class JournalState:
-    """Apply records in order; the first record about a matter stands."""
+    """Apply records in order; the first binding and the first answer of a key win."""
 
     def __init__(self) -> None:
         self._keys: dict[bytes, KeyEntry] = {}
@@ -42,27 +42,27 @@
 
     @property
     def term(self) -> TermStarted | None:
-        """Return the last term that began."""
+        """Return the start record of the latest term."""
         return self._term
 
     @property
     def unsettled(self) -> list[TermStarted]:
-        """Return the terms whose replicas may hold what the journal does not."""
+        """Return the terms whose replicas may hold records missing from the journal."""
         return list(self._unsettled.values())
 
     @property
     def horizon(self) -> datetime:
-        """Return the expiry up to which keys are forgotten and refused."""
+        """Return the expiry up to which keys are removed and rejected."""
         return self._horizon
 
     @property
     def accept_until(self) -> datetime:
-        """Return the latest expiry of any key that a term may have bound."""
+        """Return the latest expiry of any key that may have been bound so far."""
         return self._accept_until
 
     @property
     def doubtful_until(self) -> datetime:
-        """Return the expiry up to which an unknown key may have been bound."""
+        """Return the expiry up to which keys without a record are in doubt."""
         return self._doubtful_until
 
     @property
@@ -101,11 +101,11 @@
         )
 
     def is_fenced(self, incarnation: IncarnationId) -> bool:
-        """Tell whether `incarnation` may no longer commit answers."""
+        """Return whether `incarnation` has lost the right to commit answers."""
         return incarnation in self._fenced
 
     def apply_segment(self, segment: Segment) -> None:
-        """Apply a segment's bounds and records."""
+        """Apply a segment's expiry limits and records."""
         self._horizon = max(self._horizon, segment.horizon)
         self._accept_until = max(self._accept_until, segment.accept_until)
         for record in segment.records:
@@ -132,7 +132,7 @@
                 self._doubtful_until = max(self._doubtful_until, record.until)
 
     def forget(self, until: datetime) -> None:
-        """Drop what concerns keys that expire by `until` and refuse them from now."""
+        """Remove keys that expire by `until` and reject them from now on."""
         self._horizon = max(self._horizon, until)
         limit = until.timestamp()
         self._keys = {k: v for k, v in self._keys.items() if v.expires > limit}
@@ -163,8 +163,8 @@
 
 
 def _name(job: JobId) -> bytes:
-    # Stands for caller and key in 16 bytes; a collision among 128 bits is not expected
-    # in the life of the system.
+    # Hashes caller and key to 16 bytes to save memory. A collision of 128-bit hashes is
+    # not expected in the lifetime of the system.
     text = f"{job.caller}\0{job.key}".encode()
     return hashlib.blake2b(text, digest_size=NAME_BYTES).digest()
 
--- a/src/brasstray/journal/takeover.py
+++ b/src/brasstray/journal/takeover.py
@@ -1,4 +1,4 @@
-"""Begin a leader's term over a data centre's journal."""
+"""Start a new leader's term on a data centre's journal."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 
 
 class Takeover:
-    """Seal the earlier terms and gather what they committed."""
+    """Fence earlier terms and recover the records that they committed."""
 
     def __init__(
         self,
@@ -53,11 +53,11 @@
         self._timing = timing
 
     async def run(self, incarnation: IncarnationId, replaced_term: int) -> Leader:
-        """Return a leader whose term follows `replaced_term`, its records complete.
+        """Recover the earlier terms, start a new one and return its leader.
 
-        Raise NewerTermError if that term was replaced already, DeposedError if another
-        host was faster just now, JournalUnavailableError if the platform cannot be
-        reached: there is no other way to begin a term.
+        Raise NewerTermError if `replaced_term` has already been replaced, DeposedError
+        if another host started a term first, and JournalUnavailableError if the
+        platform, without which no term can start, is unavailable.
         """
         state = JournalState()
         last = -1
@@ -127,8 +127,9 @@
             known = [c for c in copies.values() if c is not None]
             for records in known:
                 gathered.extend(records)
-            # A replica that was never told of an outage proves that there was none:
-            # the earlier leader needed its word first, and cannot get it any more.
+            # A replica without any item of an outage proves that nothing was committed
+            # in one. The earlier leader needed its confirmation first, and can no
+            # longer get it.
             clean = not term.replicas or len(known) < len(copies)
             if not clean and len(copies) < len(term.replicas):
                 gathered.append(Doubtful(until=doubtful_until))
--- a/src/brasstray/journal/timing.py
+++ b/src/brasstray/journal/timing.py
@@ -1,4 +1,4 @@
-"""Hold the intervals that a leader works by."""
+"""Define the journal's intervals and timeouts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class JournalTiming:
-    """Set how often a leader writes and how long it waits; none affects safety."""
+    """Hold a leader's intervals, timeouts and limits; none affects safety."""
 
     write_interval: timedelta = timedelta(milliseconds=20)
     write_burst: int = 10
@@ -25,10 +25,11 @@
 
     @property
     def allowance(self) -> timedelta:
-        """Return how far ahead a segment allows keys to expire.
+        """Return how far in the future the keys that a segment permits may expire.
 
-        The margin is how long keys of full lifetime can be bound in an outage; after
-        the loss of a leader and all its replicas, it is how long they are in doubt.
+        The margin is how long keys of full lifetime can still be bound in an outage.
+        After the loss of a leader and all its replicas, it is how long such keys are in
+        doubt.
         """
         return self.key_lifetime + self.offline_margin
 
--- a/src/brasstray/journal/write_budget.py
+++ b/src/brasstray/journal/write_budget.py
@@ -1,4 +1,4 @@
-"""Keep a leader within its share of the platform's writes."""
+"""Keep a leader's writes within its share of the platform's write rate."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class WriteBudget:
-    """Space writes by an interval, after a burst that need not wait."""
+    """Limit writes to one per interval, with bursts, by the GCRA algorithm."""
 
     def __init__(self, clock: Clock, interval: timedelta, burst: int) -> None:
         self._clock = clock
@@ -21,7 +21,7 @@
         self._theoretical = clock.monotonic()
 
     async def spend(self) -> None:
-        """Wait until one more write fits the budget, and take it."""
+        """Wait until the limit permits one more write, and count it."""
         now = self._clock.monotonic()
         self._theoretical = max(self._theoretical, now) + self._interval
         early = self._theoretical - now - self._allowance
--- a/src/brasstray/journal/writer.py
+++ b/src/brasstray/journal/writer.py
@@ -1,4 +1,4 @@
-"""Write a leader's records to the platform, or have replicas keep them."""
+"""Write a leader's records to the platform, or to replicas in an outage."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 
 class Writer:
-    """Write segments one after another for as long as the term lasts."""
+    """Write segments in sequence until the term ends."""
 
     def __init__(
         self,
@@ -76,41 +76,41 @@
 
     @property
     def term(self) -> int:
-        """Return the term that is written for."""
+        """Return the current term."""
         return self._started.term
 
     @property
     def replicas(self) -> list[IncarnationId]:
-        """Return the replicas that the journal names for this term."""
+        """Return the replicas that the journal lists for this term."""
         return self._started.replicas
 
     @property
     def accept_until(self) -> datetime:
-        """Return the latest expiry of keys that the journal allows to bind."""
+        """Return the latest expiry with which the journal permits keys to be bound."""
         return self._state.accept_until
 
     @property
     def offline(self) -> bool:
-        """Tell whether commits go to replicas for lack of the platform."""
+        """Return whether records are committed through replicas in an outage."""
         return self._offline is not None
 
     @property
     def deposed(self) -> bool:
-        """Tell whether this term is known to have ended."""
+        """Return whether this term is known to have ended."""
         return self._deposed
 
     @property
     def writes(self) -> int:
-        """Return how many segments were written."""
+        """Return the number of segments written."""
         return self._writes
 
     def extend(self) -> None:
-        """Ask for a segment that allows keys of a later expiry."""
+        """Request a segment that permits keys with a later expiry."""
         self._extend = True
         self._backlog.notify()
 
     async def run(self) -> None:
-        """Write until the term ends."""
+        """Write queued records until the term ends."""
         budget = WriteBudget(
             self._clock, self._timing.write_interval, self._timing.write_burst
         )
@@ -160,11 +160,12 @@
         records = self._backlog.records(SEGMENT_RECORDS)
         written = await self._append(self._segment(self.term, records))
         self._extend = False
-        # A conflict with an earlier try of this term gives that try's segment: its
-        # records are the first of the backlog, which only a known write shortens.
+        # If an earlier attempt of this term was written, `written` is its segment. Its
+        # records are still at the head of the backlog, from which records are removed
+        # only after a confirmed write.
         self._backlog.flushed(len(written.records))
         if any(isinstance(record, Released) for record in written.records):
-            raise DeposedError(f"term {self.term} was released")
+            raise DeposedError(f"term {self.term} was ended by its leader")
         if not self._backlog and self._offline is not None:
             ended, self._offline = self._offline, None
             await ended.end()
@@ -190,9 +191,9 @@
         return written
 
     async def _renew_term(self) -> None:
-        # Guards against copies that a later leader would not look for: the replicas
-        # change only in a term of its own, begun with nothing unflushed, and until
-        # its segment is known to be written no copy counts under either term.
+        # A later leader must know all replicas that may hold copies. So the replicas
+        # change only with a new term, which starts when nothing is left to flush, and
+        # until its segment is known to be written, no copy counts in either term.
         if self._next_term is None:
             wanted = self._wanted_replicas()
             if wanted == self.replicas:
@@ -221,8 +222,8 @@
             return
         self._tidied = now
         self._state.forget(now)
-        # Guards against a forgotten key that a later leader takes for a new one: the
-        # horizon and all that never expires are in the journal before a segment goes.
+        # A later leader must not take a removed key for a new one. So the horizon and
+        # all records that don't expire are written before any segment is deleted.
         lasting: list[Record] = [
             self._started,
             Recovered(term=self.term),
@@ -235,7 +236,7 @@
 
 
 def latest_expiry(segment: Segment, now: datetime) -> datetime:
-    """Return until when `segment` must be kept; `now` if it holds no key."""
+    """Return when the last key of `segment` expires, or `now` if it has no key."""
     keyed = (r for r in segment.records if isinstance(r, Bound | Answered))
     return max((record.expires for record in keyed), default=now)
 
--- a/tests/journal/test_leader.py
+++ b/tests/journal/test_leader.py
@@ -1,4 +1,4 @@
-"""Check a leader's journal directly: lost replies, takeovers, horizons."""
+"""Test the journal's leader with lost replies, outages, takeovers and expiry."""
 
 from __future__ import annotations
 
@@ -29,6 +29,7 @@
 from brasstray_standins.memory_platform import MemoryPlatform
 from brasstray_standins.memory_system import STARTED
 
+# A and B lead, X and Y execute jobs, and R1 and R2 are replicas.
 A, B = IncarnationId("dc.a.1"), IncarnationId("dc.b.1")
 X, Y = IncarnationId("dc.x.1"), IncarnationId("dc.y.1")
 R1, R2 = IncarnationId("dc.r1.1"), IncarnationId("dc.r2.1")
@@ -36,7 +37,7 @@
 
 
 class DirectReplicas:
-    """Reach replicas in memory; those in `lost` give no reply."""
+    """Call replicas in memory; those in `lost` don't reply."""
 
     def __init__(self):
         self.held = {R1: Replica(), R2: Replica()}
@@ -61,7 +62,7 @@
 
 
 class Bench:
-    """Hold a platform, replicas and leaders that run in one task group."""
+    """Provide a platform, replicas, and leaders that run in one task group."""
 
     def __init__(self, group):
         self.group = group
@@ -120,10 +121,10 @@
 
 @pytest.mark.parametrize("lost", [1, 2, 3])
 def test_a_lost_reply_neither_loses_nor_repeats_a_record(lost):
-    """The platform writes a segment but its reply is lost.
+    """Guard against a record that is lost or repeated after a lost reply.
 
-    The leader cannot know; it tries again and meets its own segment. The caller's key
-    must be bound once, and the next leader must know it.
+    The platform writes a segment but its reply is lost, so the leader's retry conflicts
+    with its own segment. The key must be bound once, also for the next leader.
     """
 
     async def story(bench):
@@ -171,10 +172,11 @@
     ],
 )
 def test_a_key_bound_in_an_outage_is_never_bound_again(lost, bound_key, other_key):
-    """A key is bound while the platform is down, then its leader dies.
+    """Guard against a second binding of a key that was bound in an outage.
 
-    The platform returns and another host leads. With every replica met it knows all
-    bindings; with one missing, a key that none has may have been bound there.
+    The leader binds a key through its replicas, and another host takes over when the
+    platform is back. If it reaches all replicas it knows all bindings. If not, any
+    unknown key is in doubt, since it may have been bound on a missing replica.
     """
 
     async def story(bench):
@@ -253,10 +255,10 @@
 
 
 def test_a_forgotten_key_is_never_taken_for_a_new_one():
-    """A caller repeats a request whose key has expired everywhere.
+    """Guard against a second binding of an expired key.
 
-    Leader and journal have dropped the binding. A later leader, reading what is left,
-    must refuse the key rather than bind it to another executor.
+    A caller repeats a request after the leader and the journal have removed the key's
+    binding. Both this leader and the next must reject the key.
     """
 
     async def story(bench):
@@ -276,10 +278,10 @@
 
 
 def test_segments_of_earlier_terms_are_dropped_too():
-    """Leaders change again and again; the journal in the platform must not grow.
+    """Guard against a journal that grows with each change of leader.
 
-    A new leader that forgets which segments came before it leaves them for ever, and
-    each later takeover reads them all. Cause: the list was kept in memory only.
+    The list of segments was kept only in memory, so a new leader never deleted the
+    segments of earlier terms, and each takeover had to read them all.
     """
 
     async def story(bench):
--- a/tests/journal/test_replica.py
+++ b/tests/journal/test_replica.py
@@ -1,4 +1,4 @@
-"""Check what a replica keeps, refuses and forgets."""
+"""Test which copies a replica stores, rejects and deletes."""
 
 from __future__ import annotations
 
@@ -31,10 +31,10 @@
 
 
 def test_a_late_copy_of_a_replaced_leader_is_refused():
-    """A leader is replaced while its copy is under way.
+    """Guard against two executors for one key after a takeover.
 
-    The new leader reads this replica, binds the key anew, and only then the copy
-    arrives. Were it kept and acknowledged, two executors would start the key's tasks.
+    A copy of the old leader arrives after the new leader has fenced the old term here
+    and bound the key again. Confirming the copy would let both executors start tasks.
     """
     replica = Replica()
     assert replica.fence(4) is None
@@ -45,10 +45,10 @@
 
 
 def test_a_late_drop_does_not_reach_a_later_notice():
-    """An outage ends and another begins; the first one's drop arrives last.
+    """Guard against a delayed drop that deletes the marker of the next outage.
 
-    Were the second notice dropped, this replica would tell a new leader that there
-    was no outage, and a key that was bound in it would be bound again.
+    Without the marker, this replica would report to a new leader that there was no
+    outage, and a key bound in that outage would be bound again.
     """
     replica = Replica()
     replica.hold(1, {0: None, 1: ONE})
