--- a/src/brasstray/journal/backlog.py
+++ b/src/brasstray/journal/backlog.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from brasstray.journal.pending import PendingRecord
+from brasstray.journal.backlog_item import BacklogItem
 
 if TYPE_CHECKING:
     from brasstray.journal.records import Record
@@ -23,27 +23,27 @@
 
     def __init__(self) -> None:
         self._numbers = count()
-        self._pending: deque[PendingRecord] = deque()
+        self._pending: deque[BacklogItem] = deque()
         self._changed = anyio.Event()
 
     def __len__(self) -> int:
         return len(self._pending)
 
     @property
-    def last(self) -> PendingRecord | None:
+    def last(self) -> BacklogItem | None:
         """Return the last item of the queue."""
         return self._pending[-1] if self._pending else None
 
-    def add(self, record: Record) -> PendingRecord:
+    def add(self, record: Record) -> BacklogItem:
         """Append `record` and return its queue item."""
-        pending = PendingRecord(next(self._numbers), record)
+        pending = BacklogItem(next(self._numbers), record)
         self._pending.append(pending)
         self.notify()
         return pending
 
-    def add_notice(self) -> PendingRecord:
+    def add_notice(self) -> BacklogItem:
         """Insert an item without a record, which marks an outage, before all others."""
-        notice = PendingRecord(next(self._numbers), None)
+        notice = BacklogItem(next(self._numbers), None)
         self._pending.appendleft(notice)
         self.notify()
         return notice
--- a/src/brasstray/journal/pending.py
+++ b/src/brasstray/journal/backlog_item.py
@@ -12,7 +12,7 @@
 
 
 @dataclass
-class PendingRecord:
+class BacklogItem:
     """Hold a queued record, or None for the marker of an outage.
 
     `settled` is set when the record is committed or abandoned, and `flushed` when the
@@ -26,4 +26,4 @@
     abandoned: bool = False
 
 
-__all__ = ["PendingRecord"]
+__all__ = ["BacklogItem"]
--- a/src/brasstray/journal/leader.py
+++ b/src/brasstray/journal/leader.py
@@ -12,7 +12,7 @@
     JournalInDoubtError,
     KeyForgottenError,
 )
-from brasstray.journal.records import Fenced, Released
+from brasstray.journal.records import Fenced, TermReleased
 
 if TYPE_CHECKING:
     from datetime import datetime
@@ -20,7 +20,7 @@
     from brasstray.job.ids import IncarnationId
     from brasstray.job.job_id import JobId
     from brasstray.journal.backlog import Backlog
-    from brasstray.journal.pending import PendingRecord
+    from brasstray.journal.backlog_item import BacklogItem
     from brasstray.journal.records import Answered, Bound, Record
     from brasstray.journal.state import JournalState
     from brasstray.journal.timing import JournalTiming
@@ -148,7 +148,7 @@
         with anyio.move_on_after(self._timing.commit_patience.total_seconds()):
             while self._writer.offline and not self._writer.deposed:
                 await self._backlog.changed()
-            await self._commit(Released(term=self._writer.term))
+            await self._commit(TermReleased(term=self._writer.term))
             return
         raise CommitUnavailableError("the platform did not confirm the term's end")
 
@@ -166,7 +166,7 @@
         if last is not None:
             await self._wait_for(last.settled, last)
 
-    async def _wait_for(self, event: anyio.Event, pending: PendingRecord) -> None:
+    async def _wait_for(self, event: anyio.Event, pending: BacklogItem) -> None:
         with anyio.move_on_after(self._timing.commit_patience.total_seconds()):
             await event.wait()
         if pending.abandoned:
--- a/src/brasstray/journal/offline_period.py
+++ b/src/brasstray/journal/offline_replication.py
@@ -19,7 +19,7 @@
 _NOTHING = -1
 
 
-class OfflinePeriod:
+class OfflineReplication:
     """Copy the backlog to each replica for the duration of a platform outage."""
 
     def __init__(
@@ -82,4 +82,4 @@
             self._backlog.copied(max(self._acked.values()))
 
 
-__all__ = ["OfflinePeriod"]
+__all__ = ["OfflineReplication"]
--- a/src/brasstray/journal/record/doubtful.py
+++ b/src/brasstray/journal/record/keys_in_doubt.py
@@ -8,11 +8,11 @@
 from brasstray.journal.record.journal_record import JournalRecord
 
 
-class Doubtful(JournalRecord):
+class KeysInDoubt(JournalRecord):
     """Mark keys that expire by `until` and have no record as in doubt."""
 
     kind: Literal["doubtful"] = "doubtful"
     until: datetime
 
 
-__all__ = ["Doubtful"]
+__all__ = ["KeysInDoubt"]
--- a/src/brasstray/journal/record/recovered.py
+++ b/src/brasstray/journal/record/recovery_completed.py
@@ -7,11 +7,11 @@
 from brasstray.journal.record.journal_record import JournalRecord
 
 
-class Recovered(JournalRecord):
+class RecoveryCompleted(JournalRecord):
     """Mark all earlier terms as recovered: in the journal, or marked as in doubt."""
 
     kind: Literal["recovered"] = "recovered"
     term: int
 
 
-__all__ = ["Recovered"]
+__all__ = ["RecoveryCompleted"]
--- a/src/brasstray/journal/record/released.py
+++ b/src/brasstray/journal/record/term_released.py
@@ -7,11 +7,11 @@
 from brasstray.journal.record.journal_record import JournalRecord
 
 
-class Released(JournalRecord):
+class TermReleased(JournalRecord):
     """End a term by its own leader, with all of the term's records flushed."""
 
     kind: Literal["released"] = "released"
     term: int
 
 
-__all__ = ["Released"]
+__all__ = ["TermReleased"]
--- a/src/brasstray/journal/records.py
+++ b/src/brasstray/journal/records.py
@@ -8,24 +8,30 @@
 
 from brasstray.journal.record.answered import Answered
 from brasstray.journal.record.bound import Bound
-from brasstray.journal.record.doubtful import Doubtful
 from brasstray.journal.record.fenced import Fenced
-from brasstray.journal.record.recovered import Recovered
-from brasstray.journal.record.released import Released
+from brasstray.journal.record.keys_in_doubt import KeysInDoubt
+from brasstray.journal.record.recovery_completed import RecoveryCompleted
+from brasstray.journal.record.term_released import TermReleased
 from brasstray.journal.record.term_started import TermStarted
 
 Record = Annotated[
-    Bound | Answered | Fenced | TermStarted | Released | Recovered | Doubtful,
+    Bound
+    | Answered
+    | Fenced
+    | TermStarted
+    | TermReleased
+    | RecoveryCompleted
+    | KeysInDoubt,
     Field(discriminator="kind"),
 ]
 
 __all__ = [
     "Answered",
     "Bound",
-    "Doubtful",
     "Fenced",
+    "KeysInDoubt",
     "Record",
-    "Recovered",
-    "Released",
+    "RecoveryCompleted",
+    "TermReleased",
     "TermStarted",
 ]
--- a/src/brasstray/journal/state.py
+++ b/src/brasstray/journal/state.py
@@ -10,10 +10,10 @@
 from brasstray.journal.records import (
     Answered,
     Bound,
-    Doubtful,
     Fenced,
-    Recovered,
-    Released,
+    KeysInDoubt,
+    RecoveryCompleted,
+    TermReleased,
     TermStarted,
 )
 
@@ -123,12 +123,12 @@
             case TermStarted():
                 self._term = record
                 self._unsettled[record.term] = record
-            case Released():
+            case TermReleased():
                 self._unsettled.pop(record.term, None)
-            case Recovered():
+            case RecoveryCompleted():
                 for term in [term for term in self._unsettled if term < record.term]:
                     del self._unsettled[term]
-            case Doubtful():
+            case KeysInDoubt():
                 self._doubtful_until = max(self._doubtful_until, record.until)
 
     def forget(self, until: datetime) -> None:
--- a/src/brasstray/journal/takeover.py
+++ b/src/brasstray/journal/takeover.py
@@ -13,7 +13,7 @@
     ReplicaUnreachableError,
 )
 from brasstray.journal.leader import Leader
-from brasstray.journal.records import Doubtful, Recovered, TermStarted
+from brasstray.journal.records import KeysInDoubt, RecoveryCompleted, TermStarted
 from brasstray.journal.segment import Segment
 from brasstray.journal.state import JournalState
 from brasstray.journal.writer import (
@@ -77,7 +77,7 @@
         )
         last = await self._append(last, state, started, [started])
         recovered = await self._recover(unsettled, doubtful_until)
-        recovered.append(Recovered(term=started.term))
+        recovered.append(RecoveryCompleted(term=started.term))
         last = await self._append(last, state, started, recovered)
         backlog = Backlog()
         writer = Writer(
@@ -132,7 +132,7 @@
             # longer get it.
             clean = not term.replicas or len(known) < len(copies)
             if not clean and len(copies) < len(term.replicas):
-                gathered.append(Doubtful(until=doubtful_until))
+                gathered.append(KeysInDoubt(until=doubtful_until))
         return gathered
 
     async def _fence_all(
--- a/src/brasstray/journal/write_budget.py
+++ b/src/brasstray/journal/write_rate_limiter.py
@@ -11,7 +11,7 @@
 _NONE = timedelta(0)
 
 
-class WriteBudget:
+class WriteRateLimiter:
     """Limit writes to one per interval, with bursts, by the GCRA algorithm."""
 
     def __init__(self, clock: Clock, interval: timedelta, burst: int) -> None:
@@ -29,4 +29,4 @@
             await self._clock.sleep(early)
 
 
-__all__ = ["WriteBudget"]
+__all__ = ["WriteRateLimiter"]
--- a/src/brasstray/journal/writer.py
+++ b/src/brasstray/journal/writer.py
@@ -8,18 +8,18 @@
 import anyio
 
 from brasstray.journal.errors import DeposedError, JournalUnavailableError
-from brasstray.journal.offline_period import OfflinePeriod
+from brasstray.journal.offline_replication import OfflineReplication
 from brasstray.journal.records import (
     Answered,
     Bound,
-    Doubtful,
     Fenced,
-    Recovered,
-    Released,
+    KeysInDoubt,
+    RecoveryCompleted,
+    TermReleased,
     TermStarted,
 )
 from brasstray.journal.segment import Segment
-from brasstray.journal.write_budget import WriteBudget
+from brasstray.journal.write_rate_limiter import WriteRateLimiter
 
 if TYPE_CHECKING:
     from datetime import datetime, timedelta
@@ -66,7 +66,7 @@
         self._clock = clock
         self._random = random
         self._timing = timing
-        self._offline: OfflinePeriod | None = None
+        self._offline: OfflineReplication | None = None
         self._next_term: TermStarted | None = None
         self._extend = False
         self._deposed = False
@@ -111,7 +111,7 @@
 
     async def run(self) -> None:
         """Write queued records until the term ends."""
-        budget = WriteBudget(
+        budget = WriteRateLimiter(
             self._clock, self._timing.write_interval, self._timing.write_burst
         )
         try:
@@ -125,7 +125,7 @@
             self._deposed = True
             self._backlog.abandon()
 
-    async def _work(self, group: TaskGroup, budget: WriteBudget) -> None:
+    async def _work(self, group: TaskGroup, budget: WriteRateLimiter) -> None:
         await self._wait_for_work()
         try:
             if not self._backlog and not self.offline:
@@ -136,7 +136,7 @@
                 await self._flush()
         except JournalUnavailableError:
             if not self.offline and self._next_term is None:
-                self._offline = OfflinePeriod(
+                self._offline = OfflineReplication(
                     self._started,
                     self._backlog,
                     self._replicas,
@@ -164,7 +164,7 @@
         # records are still at the head of the backlog, from which records are removed
         # only after a confirmed write.
         self._backlog.flushed(len(written.records))
-        if any(isinstance(record, Released) for record in written.records):
+        if any(isinstance(record, TermReleased) for record in written.records):
             raise DeposedError(f"term {self.term} was ended by its leader")
         if not self._backlog and self._offline is not None:
             ended, self._offline = self._offline, None
@@ -203,9 +203,9 @@
             )
         started = self._next_term
         records: list[Record] = [
-            Released(term=self.term),
+            TermReleased(term=self.term),
             started,
-            Recovered(term=started.term),
+            RecoveryCompleted(term=started.term),
         ]
         await self._append(self._segment(started.term, records))
         self._started, self._next_term = started, None
@@ -226,8 +226,8 @@
         # all records that don't expire are written before any segment is deleted.
         lasting: list[Record] = [
             self._started,
-            Recovered(term=self.term),
-            Doubtful(until=self._state.doubtful_until),
+            RecoveryCompleted(term=self.term),
+            KeysInDoubt(until=self._state.doubtful_until),
             *(Fenced(incarnation=fenced) for fenced in sorted(self._state.fenced)),
         ]
         await self._append(self._segment(self.term, lasting))
