--- a/src/brasstray/journal/backlog.py
+++ b/src/brasstray/journal/backlog.py
@@ -23,65 +23,67 @@
 
     def __init__(self) -> None:
         self._numbers = count()
-        self._pending: deque[BacklogItem] = deque()
+        self._items: deque[BacklogItem] = deque()
         self._changed = anyio.Event()
 
     def __len__(self) -> int:
-        return len(self._pending)
+        return len(self._items)
 
     @property
     def last(self) -> BacklogItem | None:
         """Return the last item of the queue."""
-        return self._pending[-1] if self._pending else None
+        return self._items[-1] if self._items else None
 
     def add(self, record: Record) -> BacklogItem:
         """Append `record` and return its queue item."""
-        pending = BacklogItem(next(self._numbers), record)
-        self._pending.append(pending)
+        item = BacklogItem(next(self._numbers), record)
+        self._items.append(item)
         self.notify()
-        return pending
+        return item
 
-    def add_notice(self) -> BacklogItem:
+    def add_outage_marker(self) -> BacklogItem:
         """Insert an item without a record, which marks an outage, before all others."""
-        notice = BacklogItem(next(self._numbers), None)
-        self._pending.appendleft(notice)
+        marker = BacklogItem(next(self._numbers), None)
+        self._items.appendleft(marker)
         self.notify()
-        return notice
+        return marker
 
     def next_number(self) -> int:
         """Return a number greater than every number assigned so far."""
         return next(self._numbers)
 
-    def records(self, limit: int) -> list[Record]:
+    def first_records(self, limit: int) -> list[Record]:
         """Return up to `limit` records from the head of the queue."""
-        records = (p.record for p in self._pending if p.record is not None)
+        records = (item.record for item in self._items if item.record is not None)
         return [record for record, _ in zip(records, range(limit), strict=False)]
 
-    def beyond(self, number: int) -> dict[int, Record | None]:
-        """Return the records of queued items above `number`, by number."""
-        return {p.number: p.record for p in self._pending if p.number > number}
+    def records_after(self, number: int) -> dict[int, Record | None]:
+        """Return the records of items above `number`, by number; None for a marker."""
+        return {
+            item.number: item.record for item in self._items if item.number > number
+        }
 
-    def flushed(self, record_count: int) -> None:
+    def mark_flushed(self, record_count: int) -> None:
         """Remove the first `record_count` records, now flushed, and leading markers."""
         left = record_count
-        while self._pending and (left or self._pending[0].record is None):
-            pending = self._pending.popleft()
-            left -= pending.record is not None
-            pending.flushed.set()
-            pending.settled.set()
+        while self._items and (left or self._items[0].record is None):
+            item = self._items.popleft()
+            left -= item.record is not None
+            item.flushed.set()
+            item.settled.set()
 
-    def copied(self, number: int) -> None:
+    def mark_replicated(self, number: int) -> None:
         """Mark items up to `number` as committed, but keep them until flushed."""
-        for pending in self._pending:
-            if pending.number <= number:
-                pending.settled.set()
+        for item in self._items:
+            if item.number <= number:
+                item.settled.set()
 
     def abandon(self) -> None:
         """Mark every queued item as abandoned and wake the tasks that wait for it."""
-        for pending in self._pending:
-            pending.abandoned = True
-            pending.flushed.set()
-            pending.settled.set()
+        for item in self._items:
+            item.abandoned = True
+            item.flushed.set()
+            item.settled.set()
         self.notify()
 
     def notify(self) -> None:
@@ -89,7 +91,7 @@
         self._changed.set()
         self._changed = anyio.Event()
 
-    async def changed(self) -> None:
+    async def wait_for_change(self) -> None:
         """Wait for the next change."""
         await self._changed.wait()
 
--- a/src/brasstray/journal/journal.py
+++ b/src/brasstray/journal/journal.py
@@ -24,7 +24,7 @@
     def __init__(self, store: Store, data_centre: DataCentreName) -> None:
         self._store = store
         self._prefix = f"journal/{data_centre}/"
-        self._mark_name = f"lease/{data_centre}"
+        self._lease_name = f"lease/{data_centre}"
 
     def _name(self, index: int) -> str:
         return f"{self._prefix}{index:0{_INDEX_DIGITS}d}"
@@ -40,12 +40,12 @@
         try:
             await self._store.swap(self._name(index), value, ABSENT)
         except StoreConflictError:
-            return await self._settle(index, segment)
+            return await self._resolve_conflict(index, segment)
         except StoreUnavailableError as error:
             raise JournalUnavailableError(str(error)) from error
         return segment
 
-    async def _settle(self, index: int, segment: Segment) -> Segment:
+    async def _resolve_conflict(self, index: int, segment: Segment) -> Segment:
         # A write whose reply was lost conflicts with its own retry. Reading the segment
         # back distinguishes this from a write by another leader, since a segment is
         # never overwritten and contains its writer and term.
@@ -84,19 +84,19 @@
         except StoreUnavailableError as error:
             raise JournalUnavailableError(str(error)) from error
 
-    async def mark(self) -> int:
+    async def lease_version(self) -> int:
         """Return the version of the lease entry, which changes with each renewal."""
         try:
-            entry = await self._store.get(self._mark_name)
+            entry = await self._store.get(self._lease_name)
         except StoreUnavailableError as error:
             raise JournalUnavailableError(str(error)) from error
         return entry.version if entry is not None else ABSENT
 
-    async def renew_mark(self) -> None:
+    async def renew_lease(self) -> None:
         """Rewrite the lease entry, so that its version changes."""
-        version = await self.mark()
+        version = await self.lease_version()
         try:
-            await self._store.swap(self._mark_name, b"", version)
+            await self._store.swap(self._lease_name, b"", version)
         except (StoreConflictError, StoreUnavailableError) as error:
             raise JournalUnavailableError(str(error)) from error
 
--- a/src/brasstray/journal/key_entry.py
+++ b/src/brasstray/journal/key_entry.py
@@ -22,7 +22,7 @@
     executor: IncarnationId | None = None
     digest: bytes | None = None
     task_count: int = 0
-    answerer: IncarnationId | None = None
+    answered_by: IncarnationId | None = None
     outcome: Outcome | None = None
     answer_digest: bytes | None = None
 
--- a/src/brasstray/journal/leader.py
+++ b/src/brasstray/journal/leader.py
@@ -58,52 +58,52 @@
         """Return the number of keys held in memory."""
         return len(self._state)
 
-    async def bind(self, wanted: Bound) -> Bound:
-        """Return the committed binding of a job: an earlier one, or else `wanted`.
+    async def bind(self, proposed: Bound) -> Bound:
+        """Return the committed binding of a job: an earlier one, or else `proposed`.
 
         Raise KeyForgottenError, JournalInDoubtError, CommitUnavailableError or
         DeposedError; after the last two, the key may have been bound.
         """
-        found = self._state.bound(wanted.job)
+        found = self._state.binding_of(proposed.job)
         if found is None:
-            self._check_bindable(wanted.expires)
-            await self._commit(wanted)
-            return wanted
-        await self._settle()
+            self._check_expiry(proposed.expires)
+            await self._commit(proposed)
+            return proposed
+        await self._wait_for_last_record()
         return found
 
-    def _check_bindable(self, expires: datetime) -> None:
+    def _check_expiry(self, expires: datetime) -> None:
         if expires <= self._state.horizon:
             raise KeyForgottenError(
                 f"records of keys that expire by {self._state.horizon} were removed"
             )
-        if expires <= self._state.doubtful_until:
+        if expires <= self._state.in_doubt_until:
             raise JournalInDoubtError(
-                f"records of keys that expire by {self._state.doubtful_until} may"
+                f"records of keys that expire by {self._state.in_doubt_until} may"
                 " be lost"
             )
         # If copies are lost, a later leader treats unknown keys that expire by the
         # journal's accept_until as in doubt. A key with a later expiry would be bound
         # again, so the journal must raise accept_until before it is bound.
         if expires > self._writer.accept_until:
-            self._writer.extend()
+            self._writer.request_extension()
             raise CommitUnavailableError(
                 "the journal does not yet accept keys with this expiry"
             )
 
-    async def answer(self, wanted: Answered) -> Answered | None:
-        """Commit the answer `wanted` and return it, or an answer committed earlier.
+    async def answer(self, proposed: Answered) -> Answered | None:
+        """Commit the answer `proposed` and return it, or an answer committed earlier.
 
         Return None if the executor is fenced or the key's records have been removed,
         as another host may already have reported this to the caller.
         """
-        found = self._state.answered(wanted.job)
-        forgotten = wanted.expires <= self._state.horizon
-        if found or forgotten or self._state.is_fenced(wanted.executor):
-            await self._settle()
+        found = self._state.answer_of(proposed.job)
+        forgotten = proposed.expires <= self._state.horizon
+        if found or forgotten or self._state.is_fenced(proposed.executor):
+            await self._wait_for_last_record()
             return found
-        await self._commit(wanted)
-        return wanted
+        await self._commit(proposed)
+        return proposed
 
     async def fence(self, incarnation: IncarnationId) -> None:
         """Revoke the right of `incarnation` to commit answers.
@@ -118,14 +118,14 @@
             raise CommitUnavailableError("fencing needs the platform, which is down")
         self._check_term()
         self._state.apply(Fenced(incarnation=incarnation))
-        pending = self._backlog.add(Fenced(incarnation=incarnation))
-        await self._wait_for(pending.flushed, pending)
+        item = self._backlog.add(Fenced(incarnation=incarnation))
+        await self._wait_with_timeout(item.flushed, item)
         self._flushed_fences.add(incarnation)
 
     async def look_up(self, job: JobId) -> tuple[Bound | None, Answered | None]:
         """Return the committed binding and answer of `job`."""
-        found = self._state.bound(job), self._state.answered(job)
-        await self._settle()
+        found = self._state.binding_of(job), self._state.answer_of(job)
+        await self._wait_for_last_record()
         return found
 
     def is_fenced(self, incarnation: IncarnationId) -> bool:
@@ -138,7 +138,7 @@
 
     def in_doubt(self, expires: datetime) -> bool:
         """Return whether records of keys with this expiry may have been lost."""
-        return expires <= self._state.doubtful_until
+        return expires <= self._state.in_doubt_until
 
     async def release(self) -> None:
         """End the term with all records flushed, so that no replica must be queried.
@@ -147,7 +147,7 @@
         """
         with anyio.move_on_after(self._timing.commit_patience.total_seconds()):
             while self._writer.offline and not self._writer.deposed:
-                await self._backlog.changed()
+                await self._backlog.wait_for_change()
             await self._commit(TermReleased(term=self._writer.term))
             return
         raise CommitUnavailableError("the platform did not confirm the term's end")
@@ -155,21 +155,21 @@
     async def _commit(self, record: Record) -> None:
         self._check_term()
         self._state.apply(record)
-        pending = self._backlog.add(record)
-        await self._wait_for(pending.settled, pending)
+        item = self._backlog.add(record)
+        await self._wait_with_timeout(item.settled, item)
 
-    async def _settle(self) -> None:
+    async def _wait_for_last_record(self) -> None:
         # Records are applied to the state before they are committed, so a reader could
         # see one that a later leader won't have. It waits for the last queued record.
         self._check_term()
         last = self._backlog.last
         if last is not None:
-            await self._wait_for(last.settled, last)
+            await self._wait_with_timeout(last.settled, last)
 
-    async def _wait_for(self, event: anyio.Event, pending: BacklogItem) -> None:
+    async def _wait_with_timeout(self, event: anyio.Event, item: BacklogItem) -> None:
         with anyio.move_on_after(self._timing.commit_patience.total_seconds()):
             await event.wait()
-        if pending.abandoned:
+        if item.abandoned:
             raise DeposedError(f"term {self._writer.term} has ended")
         if not event.is_set():
             raise CommitUnavailableError("no platform or replica confirmed in time")
--- a/src/brasstray/journal/lease.py
+++ b/src/brasstray/journal/lease.py
@@ -12,7 +12,7 @@
     from brasstray.journal.journal import Journal
     from brasstray.journal.timing import JournalTiming
 
-PATIENCE_FACTOR = 2.5
+WATCH_INTERVALS = 2.5
 
 
 class Lease:
@@ -31,14 +31,14 @@
         """Renew the lease until cancelled."""
         while True:
             with suppress(JournalUnavailableError):
-                await self._journal.renew_mark()
+                await self._journal.renew_lease()
             await self._clock.sleep(self._timing.lease_interval)
 
     async def is_renewed(self) -> bool:
         """Watch the lease for a few intervals and return whether it was renewed."""
-        before = await self._journal.mark()
-        await self._clock.sleep(self._timing.lease_interval * PATIENCE_FACTOR)
-        return await self._journal.mark() != before
+        before = await self._journal.lease_version()
+        await self._clock.sleep(self._timing.lease_interval * WATCH_INTERVALS)
+        return await self._journal.lease_version() != before
 
 
 __all__ = ["Lease"]
--- a/src/brasstray/journal/offline_replication.py
+++ b/src/brasstray/journal/offline_replication.py
@@ -16,7 +16,7 @@
     from brasstray.journal.replicas import Replicas
     from brasstray.journal.timing import JournalTiming
 
-_NOTHING = -1
+_NONE_ACKED = -1
 
 
 class OfflineReplication:
@@ -35,8 +35,8 @@
         self._replicas = replicas
         self._clock = clock
         self._timing = timing
-        self._notice = backlog.add_notice()
-        self._acked = dict.fromkeys(started.replicas, _NOTHING)
+        self._outage_marker = backlog.add_outage_marker()
+        self._last_acked = dict.fromkeys(started.replicas, _NONE_ACKED)
         self._scope = anyio.CancelScope()
 
     async def run(self) -> None:
@@ -44,7 +44,7 @@
         with self._scope:
             async with anyio.create_task_group() as group:
                 for replica in self._started.replicas:
-                    group.start_soon(self._copy_to, replica)
+                    group.start_soon(self._replicate_to, replica)
 
     async def end(self) -> None:
         """Stop copying and delete the copies, after all records have been flushed."""
@@ -56,30 +56,30 @@
             except ReplicaUnreachableError:
                 continue
 
-    async def _copy_to(self, replica: IncarnationId) -> None:
+    async def _replicate_to(self, replica: IncarnationId) -> None:
         while True:
-            copies = self._backlog.beyond(self._acked[replica])
+            copies = self._backlog.records_after(self._last_acked[replica])
             if not copies:
-                await self._backlog.changed()
+                await self._backlog.wait_for_change()
                 continue
             try:
                 held = await self._replicas.hold(replica, self._started.term, copies)
             except ReplicaUnreachableError:
-                await self._clock.sleep(self._timing.replica_retry)
+                await self._clock.sleep(self._timing.replica_retry_delay)
                 continue
             if not held:
                 raise DeposedError(
                     f"replica {replica} has fenced term {self._started.term}"
                 )
-            self._acked[replica] = max(copies)
-            self._commit_copied()
+            self._last_acked[replica] = max(copies)
+            self._commit_replicated()
 
-    def _commit_copied(self) -> None:
+    def _commit_replicated(self) -> None:
         # A later leader that reaches only a replica without any item of this outage
         # concludes that there was none, and would bind a bound key again. So no record
         # counts as committed until every replica has the outage's first item.
-        if min(self._acked.values()) >= self._notice.number:
-            self._backlog.copied(max(self._acked.values()))
+        if min(self._last_acked.values()) >= self._outage_marker.number:
+            self._backlog.mark_replicated(max(self._last_acked.values()))
 
 
 __all__ = ["OfflineReplication"]
--- a/src/brasstray/journal/state.py
+++ b/src/brasstray/journal/state.py
@@ -23,7 +23,7 @@
     from brasstray.journal.records import Record
     from brasstray.journal.segment import Segment
 
-NAME_BYTES = 16
+HASH_BYTES = 16
 _LONG_AGO = datetime(2000, 1, 1, tzinfo=UTC)
 
 
@@ -32,13 +32,13 @@
 
     def __init__(self) -> None:
         self._keys: dict[bytes, KeyEntry] = {}
-        self._incarnations: dict[IncarnationId, IncarnationId] = {}
+        self._interned: dict[IncarnationId, IncarnationId] = {}
         self._fenced: set[IncarnationId] = set()
         self._term: TermStarted | None = None
-        self._unsettled: dict[int, TermStarted] = {}
+        self._unrecovered_terms: dict[int, TermStarted] = {}
         self._horizon = _LONG_AGO
         self._accept_until = _LONG_AGO
-        self._doubtful_until = _LONG_AGO
+        self._in_doubt_until = _LONG_AGO
 
     @property
     def term(self) -> TermStarted | None:
@@ -46,9 +46,9 @@
         return self._term
 
     @property
-    def unsettled(self) -> list[TermStarted]:
+    def unrecovered_terms(self) -> list[TermStarted]:
         """Return the terms whose replicas may hold records missing from the journal."""
-        return list(self._unsettled.values())
+        return list(self._unrecovered_terms.values())
 
     @property
     def horizon(self) -> datetime:
@@ -61,9 +61,9 @@
         return self._accept_until
 
     @property
-    def doubtful_until(self) -> datetime:
+    def in_doubt_until(self) -> datetime:
         """Return the expiry up to which keys without a record are in doubt."""
-        return self._doubtful_until
+        return self._in_doubt_until
 
     @property
     def fenced(self) -> frozenset[IncarnationId]:
@@ -73,9 +73,9 @@
     def __len__(self) -> int:
         return len(self._keys)
 
-    def bound(self, job: JobId) -> Bound | None:
+    def binding_of(self, job: JobId) -> Bound | None:
         """Return the binding of `job`, if it has one."""
-        entry = self._keys.get(_name(job))
+        entry = self._keys.get(_hash_job(job))
         if entry is None or entry.executor is None or entry.digest is None:
             return None
         return Bound(
@@ -86,15 +86,15 @@
             expires=datetime.fromtimestamp(entry.expires, UTC),
         )
 
-    def answered(self, job: JobId) -> Answered | None:
+    def answer_of(self, job: JobId) -> Answered | None:
         """Return the recorded answer to `job`, if there is one."""
-        entry = self._keys.get(_name(job))
+        entry = self._keys.get(_hash_job(job))
         if entry is None or entry.outcome is None or entry.answer_digest is None:
             return None
-        assert entry.answerer is not None
+        assert entry.answered_by is not None
         return Answered(
             job=job,
-            executor=entry.answerer,
+            executor=entry.answered_by,
             outcome=entry.outcome,
             digest=entry.answer_digest.hex(),
             expires=datetime.fromtimestamp(entry.expires, UTC),
@@ -115,21 +115,23 @@
         """Apply one record."""
         match record:
             case Bound():
-                self._bind(record)
+                self._apply_binding(record)
             case Answered() if record.executor not in self._fenced:
-                self._answer(record)
+                self._apply_answer(record)
             case Fenced():
                 self._fenced.add(record.incarnation)
             case TermStarted():
                 self._term = record
-                self._unsettled[record.term] = record
+                self._unrecovered_terms[record.term] = record
             case TermReleased():
-                self._unsettled.pop(record.term, None)
+                self._unrecovered_terms.pop(record.term, None)
             case RecoveryCompleted():
-                for term in [term for term in self._unsettled if term < record.term]:
-                    del self._unsettled[term]
+                for term in [
+                    term for term in self._unrecovered_terms if term < record.term
+                ]:
+                    del self._unrecovered_terms[term]
             case KeysInDoubt():
-                self._doubtful_until = max(self._doubtful_until, record.until)
+                self._in_doubt_until = max(self._in_doubt_until, record.until)
 
     def forget(self, until: datetime) -> None:
         """Remove keys that expire by `until` and reject them from now on."""
@@ -137,36 +139,36 @@
         limit = until.timestamp()
         self._keys = {k: v for k, v in self._keys.items() if v.expires > limit}
 
-    def _entry(self, job: JobId, expires: datetime) -> KeyEntry:
-        name = _name(job)
-        entry = self._keys.get(name)
+    def _get_or_add_entry(self, job: JobId, expires: datetime) -> KeyEntry:
+        job_hash = _hash_job(job)
+        entry = self._keys.get(job_hash)
         if entry is None:
-            entry = self._keys[name] = KeyEntry(int(expires.timestamp()))
+            entry = self._keys[job_hash] = KeyEntry(int(expires.timestamp()))
         return entry
 
-    def _shared(self, incarnation: IncarnationId) -> IncarnationId:
-        return self._incarnations.setdefault(incarnation, incarnation)
+    def _intern(self, incarnation: IncarnationId) -> IncarnationId:
+        return self._interned.setdefault(incarnation, incarnation)
 
-    def _bind(self, record: Bound) -> None:
-        entry = self._entry(record.job, record.expires)
+    def _apply_binding(self, record: Bound) -> None:
+        entry = self._get_or_add_entry(record.job, record.expires)
         if entry.executor is None:
-            entry.executor = self._shared(record.executor)
+            entry.executor = self._intern(record.executor)
             entry.digest = bytes.fromhex(record.digest)
             entry.task_count = record.task_count
 
-    def _answer(self, record: Answered) -> None:
-        entry = self._entry(record.job, record.expires)
+    def _apply_answer(self, record: Answered) -> None:
+        entry = self._get_or_add_entry(record.job, record.expires)
         if entry.outcome is None:
-            entry.answerer = self._shared(record.executor)
+            entry.answered_by = self._intern(record.executor)
             entry.outcome = record.outcome
             entry.answer_digest = bytes.fromhex(record.digest)
 
 
-def _name(job: JobId) -> bytes:
+def _hash_job(job: JobId) -> bytes:
     # Hashes caller and key to 16 bytes to save memory. A collision of 128-bit hashes is
     # not expected in the lifetime of the system.
     text = f"{job.caller}\0{job.key}".encode()
-    return hashlib.blake2b(text, digest_size=NAME_BYTES).digest()
+    return hashlib.blake2b(text, digest_size=HASH_BYTES).digest()
 
 
 __all__ = ["JournalState"]
--- a/src/brasstray/journal/takeover.py
+++ b/src/brasstray/journal/takeover.py
@@ -60,30 +60,30 @@
         platform, without which no term can start, is unavailable.
         """
         state = JournalState()
-        last = -1
-        old: list[tuple[int, datetime]] = []
-        for index, segment in await self._journal.read(after=last):
+        last_index = -1
+        retained: list[tuple[int, datetime]] = []
+        for index, segment in await self._journal.read(after=last_index):
             state.apply_segment(segment)
-            old.append((index, latest_expiry(segment, self._clock.now())))
-            last = index
-        unsettled, doubtful_until = state.unsettled, state.accept_until
-        earlier = state.term.term if state.term is not None else 0
-        if state.term is not None and earlier > replaced_term:
-            raise NewerTermError(earlier, state.term.leader)
+            retained.append((index, latest_expiry(segment, self._clock.now())))
+            last_index = index
+        unrecovered_terms, in_doubt_until = state.unrecovered_terms, state.accept_until
+        latest_term = state.term.term if state.term is not None else 0
+        if state.term is not None and latest_term > replaced_term:
+            raise NewerTermError(latest_term, state.term.leader)
         started = TermStarted(
-            term=earlier + 1,
+            term=latest_term + 1,
             leader=incarnation,
             replicas=self._replicas.live()[:REPLICA_COUNT],
         )
-        last = await self._append(last, state, started, [started])
-        recovered = await self._recover(unsettled, doubtful_until)
+        last_index = await self._append(last_index, state, started, [started])
+        recovered = await self._recover(unrecovered_terms, in_doubt_until)
         recovered.append(RecoveryCompleted(term=started.term))
-        last = await self._append(last, state, started, recovered)
+        last_index = await self._append(last_index, state, started, recovered)
         backlog = Backlog()
         writer = Writer(
             started,
-            last + 1,
-            old,
+            last_index + 1,
+            retained,
             state,
             backlog,
             self._journal,
@@ -96,7 +96,7 @@
 
     async def _append(
         self,
-        last: int,
+        last_index: int,
         state: JournalState,
         started: TermStarted,
         records: list[Record],
@@ -106,36 +106,36 @@
             writer=started.leader,
             token=f"{self._random.getrandbits(TOKEN_BITS):016x}",
             horizon=state.horizon,
-            accept_until=self._clock.now() + self._timing.allowance,
+            accept_until=self._clock.now() + self._timing.expiry_allowance,
             records=records,
         )
         while True:
             try:
-                written = await self._journal.append(last + 1, segment)
+                written = await self._journal.append(last_index + 1, segment)
             except JournalUnavailableError:
-                await self._clock.sleep(self._timing.retry_least)
+                await self._clock.sleep(self._timing.min_retry_delay)
                 continue
             state.apply_segment(written)
-            return last + 1
+            return last_index + 1
 
     async def _recover(
-        self, unsettled: list[TermStarted], doubtful_until: datetime
+        self, unrecovered_terms: list[TermStarted], in_doubt_until: datetime
     ) -> list[Record]:
         gathered: list[Record] = []
-        for term in unsettled:
-            copies = await self._fence_all(term)
-            known = [c for c in copies.values() if c is not None]
-            for records in known:
+        for term in unrecovered_terms:
+            copies = await self._fence_replicas(term)
+            held_records = [c for c in copies.values() if c is not None]
+            for records in held_records:
                 gathered.extend(records)
             # A replica without any item of an outage proves that nothing was committed
             # in one. The earlier leader needed its confirmation first, and can no
             # longer get it.
-            clean = not term.replicas or len(known) < len(copies)
-            if not clean and len(copies) < len(term.replicas):
-                gathered.append(KeysInDoubt(until=doubtful_until))
+            nothing_lost = not term.replicas or len(held_records) < len(copies)
+            if not nothing_lost and len(copies) < len(term.replicas):
+                gathered.append(KeysInDoubt(until=in_doubt_until))
         return gathered
 
-    async def _fence_all(
+    async def _fence_replicas(
         self, term: TermStarted
     ) -> dict[IncarnationId, list[Record] | None]:
         replies: dict[IncarnationId, list[Record] | None] = {}
@@ -146,9 +146,9 @@
                     replies[replica] = await self._replicas.fence(replica, term.term)
                     return
                 except ReplicaUnreachableError:
-                    await self._clock.sleep(self._timing.replica_retry)
+                    await self._clock.sleep(self._timing.replica_retry_delay)
 
-        with anyio.move_on_after(self._timing.fence_patience.total_seconds()):
+        with anyio.move_on_after(self._timing.fence_timeout.total_seconds()):
             async with anyio.create_task_group() as group:
                 for replica in term.replicas:
                     group.start_soon(fence, replica)
--- a/src/brasstray/journal/timing.py
+++ b/src/brasstray/journal/timing.py
@@ -12,19 +12,19 @@
 
     write_interval: timedelta = timedelta(milliseconds=20)
     write_burst: int = 10
-    retry_least: timedelta = timedelta(milliseconds=500)
-    retry_most: timedelta = timedelta(seconds=5)
+    min_retry_delay: timedelta = timedelta(milliseconds=500)
+    max_retry_delay: timedelta = timedelta(seconds=5)
     commit_patience: timedelta = timedelta(seconds=3)
-    replica_retry: timedelta = timedelta(milliseconds=250)
-    replica_check: timedelta = timedelta(seconds=1)
-    fence_patience: timedelta = timedelta(seconds=2)
+    replica_retry_delay: timedelta = timedelta(milliseconds=250)
+    replica_check_interval: timedelta = timedelta(seconds=1)
+    fence_timeout: timedelta = timedelta(seconds=2)
     key_lifetime: timedelta = timedelta(hours=4)
     offline_margin: timedelta = timedelta(minutes=90)
     lease_interval: timedelta = timedelta(seconds=5)
-    tidy_interval: timedelta = timedelta(minutes=5)
+    compaction_interval: timedelta = timedelta(minutes=5)
 
     @property
-    def allowance(self) -> timedelta:
+    def expiry_allowance(self) -> timedelta:
         """Return how far in the future the keys that a segment permits may expire.
 
         The margin is how long keys of full lifetime can still be bound in an outage.
--- a/src/brasstray/journal/write_rate_limiter.py
+++ b/src/brasstray/journal/write_rate_limiter.py
@@ -1,4 +1,4 @@
-"""Keep a leader's writes within its share of the platform's write rate."""
+"""Keep a leader within its share of the platform's writes."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 if TYPE_CHECKING:
     from brasstray.clock.clock import Clock
 
-_NONE = timedelta(0)
+_ZERO = timedelta(0)
 
 
 class WriteRateLimiter:
@@ -17,16 +17,16 @@
     def __init__(self, clock: Clock, interval: timedelta, burst: int) -> None:
         self._clock = clock
         self._interval = interval
-        self._allowance = interval * burst
-        self._theoretical = clock.monotonic()
+        self._burst_tolerance = interval * burst
+        self._theoretical_arrival = clock.monotonic()
 
-    async def spend(self) -> None:
+    async def acquire(self) -> None:
         """Wait until the limit permits one more write, and count it."""
         now = self._clock.monotonic()
-        self._theoretical = max(self._theoretical, now) + self._interval
-        early = self._theoretical - now - self._allowance
-        if early > _NONE:
-            await self._clock.sleep(early)
+        self._theoretical_arrival = max(self._theoretical_arrival, now) + self._interval
+        delay = self._theoretical_arrival - now - self._burst_tolerance
+        if delay > _ZERO:
+            await self._clock.sleep(delay)
 
 
 __all__ = ["WriteRateLimiter"]
--- a/src/brasstray/journal/writer.py
+++ b/src/brasstray/journal/writer.py
@@ -48,7 +48,7 @@
         self,
         started: TermStarted,
         next_index: int,
-        old_segments: list[tuple[int, datetime]],
+        retained_segments: list[tuple[int, datetime]],
         state: JournalState,
         backlog: Backlog,
         journal: Journal,
@@ -66,12 +66,12 @@
         self._clock = clock
         self._random = random
         self._timing = timing
-        self._offline: OfflineReplication | None = None
+        self._offline_replication: OfflineReplication | None = None
         self._next_term: TermStarted | None = None
-        self._extend = False
+        self._extension_requested = False
         self._deposed = False
-        self._tidied = clock.now()
-        self._old_segments = deque(old_segments)
+        self._compacted_at = clock.now()
+        self._retained_segments = deque(retained_segments)
         self._writes = 0
 
     @property
@@ -92,7 +92,7 @@
     @property
     def offline(self) -> bool:
         """Return whether records are committed through replicas in an outage."""
-        return self._offline is not None
+        return self._offline_replication is not None
 
     @property
     def deposed(self) -> bool:
@@ -104,20 +104,20 @@
         """Return the number of segments written."""
         return self._writes
 
-    def extend(self) -> None:
+    def request_extension(self) -> None:
         """Request a segment that permits keys with a later expiry."""
-        self._extend = True
+        self._extension_requested = True
         self._backlog.notify()
 
     async def run(self) -> None:
         """Write queued records until the term ends."""
-        budget = WriteRateLimiter(
+        rate_limiter = WriteRateLimiter(
             self._clock, self._timing.write_interval, self._timing.write_burst
         )
         try:
             async with anyio.create_task_group() as group:
                 while not self._deposed:
-                    await self._work(group, budget)
+                    await self._write_pending(group, rate_limiter)
                 group.cancel_scope.cancel()
         except* DeposedError:
             pass
@@ -125,49 +125,51 @@
             self._deposed = True
             self._backlog.abandon()
 
-    async def _work(self, group: TaskGroup, budget: WriteRateLimiter) -> None:
+    async def _write_pending(
+        self, group: TaskGroup, rate_limiter: WriteRateLimiter
+    ) -> None:
         await self._wait_for_work()
         try:
             if not self._backlog and not self.offline:
-                await self._renew_term()
-                await self._tidy()
-            if self._backlog or self._extend:
-                await budget.spend()
+                await self._update_replicas()
+                await self._compact()
+            if self._backlog or self._extension_requested:
+                await rate_limiter.acquire()
                 await self._flush()
         except JournalUnavailableError:
             if not self.offline and self._next_term is None:
-                self._offline = OfflineReplication(
+                self._offline_replication = OfflineReplication(
                     self._started,
                     self._backlog,
                     self._replicas,
                     self._clock,
                     self._timing,
                 )
-                group.start_soon(self._offline.run)
+                group.start_soon(self._offline_replication.run)
             await self._clock.sleep(self._retry_delay())
 
     async def _wait_for_work(self) -> None:
-        if self._backlog or self._extend or self._next_term:
+        if self._backlog or self._extension_requested or self._next_term:
             return
-        with anyio.move_on_after(self._timing.replica_check.total_seconds()):
-            await self._backlog.changed()
+        with anyio.move_on_after(self._timing.replica_check_interval.total_seconds()):
+            await self._backlog.wait_for_change()
 
     def _retry_delay(self) -> timedelta:
-        least, most = self._timing.retry_least, self._timing.retry_most
-        return least + (most - least) * self._random.random()
+        shortest, longest = self._timing.min_retry_delay, self._timing.max_retry_delay
+        return shortest + (longest - shortest) * self._random.random()
 
     async def _flush(self) -> None:
-        records = self._backlog.records(SEGMENT_RECORDS)
+        records = self._backlog.first_records(SEGMENT_RECORDS)
         written = await self._append(self._segment(self.term, records))
-        self._extend = False
+        self._extension_requested = False
         # If an earlier attempt of this term was written, `written` is its segment. Its
         # records are still at the head of the backlog, from which records are removed
         # only after a confirmed write.
-        self._backlog.flushed(len(written.records))
+        self._backlog.mark_flushed(len(written.records))
         if any(isinstance(record, TermReleased) for record in written.records):
             raise DeposedError(f"term {self.term} was ended by its leader")
-        if not self._backlog and self._offline is not None:
-            ended, self._offline = self._offline, None
+        if not self._backlog and self._offline_replication is not None:
+            ended, self._offline_replication = self._offline_replication, None
             await ended.end()
             self._backlog.notify()
 
@@ -177,7 +179,7 @@
             writer=self._started.leader,
             token=f"{self._random.getrandbits(TOKEN_BITS):016x}",
             horizon=self._state.horizon,
-            accept_until=self._clock.now() + self._timing.allowance,
+            accept_until=self._clock.now() + self._timing.expiry_allowance,
             records=records,
         )
 
@@ -186,20 +188,20 @@
         self._writes += 1
         self._state.apply_segment(written)
         latest = latest_expiry(written, self._clock.now())
-        self._old_segments.append((self._next_index, latest))
+        self._retained_segments.append((self._next_index, latest))
         self._next_index += 1
         return written
 
-    async def _renew_term(self) -> None:
+    async def _update_replicas(self) -> None:
         # A later leader must know all replicas that may hold copies. So the replicas
         # change only with a new term, which starts when nothing is left to flush, and
         # until its segment is known to be written, no copy counts in either term.
         if self._next_term is None:
-            wanted = self._wanted_replicas()
-            if wanted == self.replicas:
+            chosen = self._choose_replicas()
+            if chosen == self.replicas:
                 return
             self._next_term = TermStarted(
-                term=self.term + 1, leader=self._started.leader, replicas=wanted
+                term=self.term + 1, leader=self._started.leader, replicas=chosen
             )
         started = self._next_term
         records: list[Record] = [
@@ -210,29 +212,29 @@
         await self._append(self._segment(started.term, records))
         self._started, self._next_term = started, None
 
-    def _wanted_replicas(self) -> list[IncarnationId]:
+    def _choose_replicas(self) -> list[IncarnationId]:
         live = self._replicas.live()
         kept = [replica for replica in self.replicas if replica in live]
         added = [replica for replica in live if replica not in kept]
         return (kept + added)[:REPLICA_COUNT]
 
-    async def _tidy(self) -> None:
+    async def _compact(self) -> None:
         now = self._clock.now()
-        if now - self._tidied < self._timing.tidy_interval:
+        if now - self._compacted_at < self._timing.compaction_interval:
             return
-        self._tidied = now
+        self._compacted_at = now
         self._state.forget(now)
         # A later leader must not take a removed key for a new one. So the horizon and
         # all records that don't expire are written before any segment is deleted.
-        lasting: list[Record] = [
+        permanent: list[Record] = [
             self._started,
             RecoveryCompleted(term=self.term),
-            KeysInDoubt(until=self._state.doubtful_until),
+            KeysInDoubt(until=self._state.in_doubt_until),
             *(Fenced(incarnation=fenced) for fenced in sorted(self._state.fenced)),
         ]
-        await self._append(self._segment(self.term, lasting))
-        while len(self._old_segments) > 1 and self._old_segments[0][1] <= now:
-            await self._journal.drop(self._old_segments.popleft()[0])
+        await self._append(self._segment(self.term, permanent))
+        while len(self._retained_segments) > 1 and self._retained_segments[0][1] <= now:
+            await self._journal.drop(self._retained_segments.popleft()[0])
 
 
 def latest_expiry(segment: Segment, now: datetime) -> datetime:
