--- a/tests/journal/test_replica.py
+++ b/tests/journal/test_replica.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("held", "below", "left"),
+    ("copies", "below", "remaining"),
     [
         ({}, 9, None),
         ({0: None}, 0, []),
@@ -22,15 +22,15 @@
         ({1: ONE, 5: None}, 3, []),
     ],
 )
-def test_what_is_flushed_is_forgotten(held, below, left):
+def test_drop_deletes_flushed_copies(copies, below, remaining):
     replica = Replica()
-    if held:
-        assert replica.hold(3, held)
+    if copies:
+        assert replica.hold(3, copies)
     replica.drop(3, below)
-    assert replica.fence(3) == left
+    assert replica.fence(3) == remaining
 
 
-def test_a_late_copy_of_a_replaced_leader_is_refused():
+def test_a_late_copy_of_a_replaced_leader_is_rejected():
     """Guard against two executors for one key after a takeover.
 
     A copy of the old leader arrives after the new leader has fenced the old term here
@@ -44,7 +44,7 @@
     assert replica.hold(5, {0: None})
 
 
-def test_a_late_drop_does_not_reach_a_later_notice():
+def test_a_late_drop_keeps_the_marker_of_a_later_outage():
     """Guard against a delayed drop that deletes the marker of the next outage.
 
     Without the marker, this replica would report to a new leader that there was no
