--- a/src/brasstray/journal/backlog.py
+++ b/src/brasstray/journal/backlog.py
@@ -64,7 +64,7 @@
         }
 
     def mark_flushed(self, record_count: int) -> None:
-        """Remove the first `record_count` records, now flushed, and leading markers."""
+        """Remove the first `record_count` records as flushed, and leading markers."""
         left = record_count
         while self._items and (left or self._items[0].record is None):
             item = self._items.popleft()
--- a/src/brasstray/journal/journal.py
+++ b/src/brasstray/journal/journal.py
@@ -77,7 +77,7 @@
             raise JournalUnavailableError(str(error)) from error
         return found
 
-    async def drop(self, index: int) -> None:
+    async def delete_segment(self, index: int) -> None:
         """Delete the segment at `index`."""
         try:
             await self._store.delete(self._name(index))
--- a/src/brasstray/journal/leader.py
+++ b/src/brasstray/journal/leader.py
@@ -12,7 +12,7 @@
     JournalInDoubtError,
     KeyForgottenError,
 )
-from brasstray.journal.records import Fenced, TermReleased
+from brasstray.journal.records import IncarnationFenced, TermReleased
 
 if TYPE_CHECKING:
     from datetime import datetime
@@ -117,8 +117,8 @@
         if self._writer.offline:
             raise CommitUnavailableError("fencing needs the platform, which is down")
         self._check_term()
-        self._state.apply(Fenced(incarnation=incarnation))
-        item = self._backlog.add(Fenced(incarnation=incarnation))
+        self._state.apply(IncarnationFenced(incarnation=incarnation))
+        item = self._backlog.add(IncarnationFenced(incarnation=incarnation))
         await self._wait_with_timeout(item.flushed, item)
         self._flushed_fences.add(incarnation)
 
--- a/src/brasstray/journal/offline_replication.py
+++ b/src/brasstray/journal/offline_replication.py
@@ -76,8 +76,8 @@
 
     def _commit_replicated(self) -> None:
         # A later leader that reaches only a replica without any item of this outage
-        # concludes that there was none, and would bind a bound key again. So no record
-        # counts as committed until every replica has the outage's first item.
+        # concludes that there was none, and would bind its keys again. So no record
+        # counts as committed until every replica has the outage marker.
         if min(self._last_acked.values()) >= self._outage_marker.number:
             self._backlog.mark_replicated(max(self._last_acked.values()))
 
--- a/src/brasstray/journal/record/fenced.py
+++ b/src/brasstray/journal/record/incarnation_fenced.py
@@ -8,11 +8,11 @@
 from brasstray.journal.record.journal_record import JournalRecord
 
 
-class Fenced(JournalRecord):
+class IncarnationFenced(JournalRecord):
     """Revoke an incarnation's right to commit answers."""
 
     kind: Literal["fenced"] = "fenced"
     incarnation: IncarnationId
 
 
-__all__ = ["Fenced"]
+__all__ = ["IncarnationFenced"]
--- a/src/brasstray/journal/record/recovery_completed.py
+++ b/src/brasstray/journal/record/recovery_completed.py
@@ -1,4 +1,4 @@
-"""Mark all earlier terms as recovered: in the journal, or marked as in doubt."""
+"""Mark all earlier terms as recovered: written to the journal, or in doubt."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class RecoveryCompleted(JournalRecord):
-    """Mark all earlier terms as recovered: in the journal, or marked as in doubt."""
+    """Mark all earlier terms as recovered: written to the journal, or in doubt."""
 
     kind: Literal["recovered"] = "recovered"
     term: int
--- a/src/brasstray/journal/record/term_released.py
+++ b/src/brasstray/journal/record/term_released.py
@@ -1,4 +1,4 @@
-"""End a term by its own leader, with all of the term's records flushed."""
+"""End a term, by its own leader, after all of its records were flushed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TermReleased(JournalRecord):
-    """End a term by its own leader, with all of the term's records flushed."""
+    """End a term, by its own leader, after all of its records were flushed."""
 
     kind: Literal["released"] = "released"
     term: int
--- a/src/brasstray/journal/records.py
+++ b/src/brasstray/journal/records.py
@@ -8,7 +8,7 @@
 
 from brasstray.journal.record.answered import Answered
 from brasstray.journal.record.bound import Bound
-from brasstray.journal.record.fenced import Fenced
+from brasstray.journal.record.incarnation_fenced import IncarnationFenced
 from brasstray.journal.record.keys_in_doubt import KeysInDoubt
 from brasstray.journal.record.recovery_completed import RecoveryCompleted
 from brasstray.journal.record.term_released import TermReleased
@@ -17,7 +17,7 @@
 Record = Annotated[
     Bound
     | Answered
-    | Fenced
+    | IncarnationFenced
     | TermStarted
     | TermReleased
     | RecoveryCompleted
@@ -28,7 +28,7 @@
 __all__ = [
     "Answered",
     "Bound",
-    "Fenced",
+    "IncarnationFenced",
     "KeysInDoubt",
     "Record",
     "RecoveryCompleted",
--- a/src/brasstray/journal/state.py
+++ b/src/brasstray/journal/state.py
@@ -10,7 +10,7 @@
 from brasstray.journal.records import (
     Answered,
     Bound,
-    Fenced,
+    IncarnationFenced,
     KeysInDoubt,
     RecoveryCompleted,
     TermReleased,
@@ -118,7 +118,7 @@
                 self._apply_binding(record)
             case Answered() if record.executor not in self._fenced:
                 self._apply_answer(record)
-            case Fenced():
+            case IncarnationFenced():
                 self._fenced.add(record.incarnation)
             case TermStarted():
                 self._term = record
--- a/src/brasstray/journal/writer.py
+++ b/src/brasstray/journal/writer.py
@@ -12,7 +12,7 @@
 from brasstray.journal.records import (
     Answered,
     Bound,
-    Fenced,
+    IncarnationFenced,
     KeysInDoubt,
     RecoveryCompleted,
     TermReleased,
@@ -230,11 +230,14 @@
             self._started,
             RecoveryCompleted(term=self.term),
             KeysInDoubt(until=self._state.in_doubt_until),
-            *(Fenced(incarnation=fenced) for fenced in sorted(self._state.fenced)),
+            *(
+                IncarnationFenced(incarnation=fenced)
+                for fenced in sorted(self._state.fenced)
+            ),
         ]
         await self._append(self._segment(self.term, permanent))
         while len(self._retained_segments) > 1 and self._retained_segments[0][1] <= now:
-            await self._journal.drop(self._retained_segments.popleft()[0])
+            await self._journal.delete_segment(self._retained_segments.popleft()[0])
 
 
 def latest_expiry(segment: Segment, now: datetime) -> datetime:
--- a/tests/journal/test_replica.py
+++ b/tests/journal/test_replica.py
@@ -5,10 +5,10 @@
 import pytest
 
 from brasstray.job.ids import IncarnationId
-from brasstray.journal.records import Fenced
+from brasstray.journal.records import IncarnationFenced
 from brasstray.journal.replica import Replica
 
-ONE, TWO = (Fenced(incarnation=IncarnationId(f"a.b.{n}")) for n in "12")
+ONE, TWO = (IncarnationFenced(incarnation=IncarnationId(f"a.b.{n}")) for n in "12")
 
 
 @pytest.mark.parametrize(
