--- a/src/brasstray/journal/pending.py
+++ b/src/brasstray/journal/backlog_item.py
@@ -1,4 +1,4 @@
-"""Hold a record until it is committed."""
+"""Define an item of the backlog."""
 
 from __future__ import annotations
 
@@ -12,8 +12,12 @@
 
 
 @dataclass
-class PendingRecord:
-    """Hold a record, or a notice without one, until committed or abandoned."""
+class BacklogItem:
+    """Hold a queued record, or None for the marker of an outage.
+
+    `settled` is set when the record is committed or abandoned, and `flushed` when the
+    platform has it or it is abandoned.
+    """
 
     number: int
     record: Record | None
@@ -22,4 +26,4 @@
     abandoned: bool = False
 
 
-__all__ = ["PendingRecord"]
+__all__ = ["BacklogItem"]
--- a/src/brasstray/journal/takeover.py
+++ b/src/brasstray/journal/takeover.py
@@ -1,4 +1,4 @@
-"""Begin a leader's term over a data centre's journal."""
+"""Start a new leader's term on a data centre's journal."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
     ReplicaUnreachableError,
 )
 from brasstray.journal.leader import Leader
-from brasstray.journal.records import Doubtful, Recovered, TermStarted
+from brasstray.journal.records import KeysInDoubt, RecoveryCompleted, TermStarted
 from brasstray.journal.segment import Segment
 from brasstray.journal.state import JournalState
 from brasstray.journal.writer import (
@@ -36,7 +36,7 @@
 
 
 class Takeover:
-    """Seal the earlier terms and gather what they committed."""
+    """Fence earlier terms and recover the records that they committed."""
 
     def __init__(
         self,
@@ -53,37 +53,37 @@
         self._timing = timing
 
     async def run(self, incarnation: IncarnationId, replaced_term: int) -> Leader:
-        """Return a leader whose term follows `replaced_term`, its records complete.
+        """Recover the earlier terms, start a new one and return its leader.
 
-        Raise NewerTermError if that term was replaced already, DeposedError if another
-        host was faster just now, JournalUnavailableError if the platform cannot be
-        reached: there is no other way to begin a term.
+        Raise NewerTermError if `replaced_term` has already been replaced, DeposedError
+        if another host started a term first, and JournalUnavailableError if the
+        platform, without which no term can start, is unavailable.
         """
         state = JournalState()
-        last = -1
-        old: list[tuple[int, datetime]] = []
-        for index, segment in await self._journal.read(after=last):
+        last_index = -1
+        retained: list[tuple[int, datetime]] = []
+        for index, segment in await self._journal.read(after=last_index):
             state.apply_segment(segment)
-            old.append((index, latest_expiry(segment, self._clock.now())))
-            last = index
-        unsettled, doubtful_until = state.unsettled, state.accept_until
-        earlier = state.term.term if state.term is not None else 0
-        if state.term is not None and earlier > replaced_term:
-            raise NewerTermError(earlier, state.term.leader)
+            retained.append((index, latest_expiry(segment, self._clock.now())))
+            last_index = index
+        unrecovered_terms, in_doubt_until = state.unrecovered_terms, state.accept_until
+        latest_term = state.term.term if state.term is not None else 0
+        if state.term is not None and latest_term > replaced_term:
+            raise NewerTermError(latest_term, state.term.leader)
         started = TermStarted(
-            term=earlier + 1,
+            term=latest_term + 1,
             leader=incarnation,
             replicas=self._replicas.live()[:REPLICA_COUNT],
         )
-        last = await self._append(last, state, started, [started])
-        recovered = await self._recover(unsettled, doubtful_until)
-        recovered.append(Recovered(term=started.term))
-        last = await self._append(last, state, started, recovered)
+        last_index = await self._append(last_index, state, started, [started])
+        recovered = await self._recover(unrecovered_terms, in_doubt_until)
+        recovered.append(RecoveryCompleted(term=started.term))
+        last_index = await self._append(last_index, state, started, recovered)
         backlog = Backlog()
         writer = Writer(
             started,
-            last + 1,
-            old,
+            last_index + 1,
+            retained,
             state,
             backlog,
             self._journal,
@@ -96,7 +96,7 @@
 
     async def _append(
         self,
-        last: int,
+        last_index: int,
         state: JournalState,
         started: TermStarted,
         records: list[Record],
@@ -106,35 +106,36 @@
             writer=started.leader,
             token=f"{self._random.getrandbits(TOKEN_BITS):016x}",
             horizon=state.horizon,
-            accept_until=self._clock.now() + self._timing.allowance,
+            accept_until=self._clock.now() + self._timing.expiry_allowance,
             records=records,
         )
         while True:
             try:
-                written = await self._journal.append(last + 1, segment)
+                written = await self._journal.append(last_index + 1, segment)
             except JournalUnavailableError:
-                await self._clock.sleep(self._timing.retry_least)
+                await self._clock.sleep(self._timing.min_retry_delay)
                 continue
             state.apply_segment(written)
-            return last + 1
+            return last_index + 1
 
     async def _recover(
-        self, unsettled: list[TermStarted], doubtful_until: datetime
+        self, unrecovered_terms: list[TermStarted], in_doubt_until: datetime
     ) -> list[Record]:
         gathered: list[Record] = []
-        for term in unsettled:
-            copies = await self._fence_all(term)
-            known = [c for c in copies.values() if c is not None]
-            for records in known:
+        for term in unrecovered_terms:
+            copies = await self._fence_replicas(term)
+            held_records = [c for c in copies.values() if c is not None]
+            for records in held_records:
                 gathered.extend(records)
-            # A replica that was never told of an outage proves that there was none:
-            # the earlier leader needed its word first, and cannot get it any more.
-            clean = not term.replicas or len(known) < len(copies)
-            if not clean and len(copies) < len(term.replicas):
-                gathered.append(Doubtful(until=doubtful_until))
+            # A replica without any item of an outage proves that nothing was committed
+            # in one. The earlier leader needed its confirmation first, and can no
+            # longer get it.
+            nothing_lost = not term.replicas or len(held_records) < len(copies)
+            if not nothing_lost and len(copies) < len(term.replicas):
+                gathered.append(KeysInDoubt(until=in_doubt_until))
         return gathered
 
-    async def _fence_all(
+    async def _fence_replicas(
         self, term: TermStarted
     ) -> dict[IncarnationId, list[Record] | None]:
         replies: dict[IncarnationId, list[Record] | None] = {}
@@ -145,9 +146,9 @@
                     replies[replica] = await self._replicas.fence(replica, term.term)
                     return
                 except ReplicaUnreachableError:
-                    await self._clock.sleep(self._timing.replica_retry)
+                    await self._clock.sleep(self._timing.replica_retry_delay)
 
-        with anyio.move_on_after(self._timing.fence_patience.total_seconds()):
+        with anyio.move_on_after(self._timing.fence_timeout.total_seconds()):
             async with anyio.create_task_group() as group:
                 for replica in term.replicas:
                     group.start_soon(fence, replica)
--- a/src/brasstray/table/row.py
+++ b/src/brasstray/table/row.py
@@ -1,4 +1,4 @@
-"""Describe one row of the operators' table."""
+"""Define one row of the operators' table."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from brasstray.job.request import MAX_DEADLINE, MAX_TASKS
 
 ANY_PERIOD = PeriodName("*")
-_NAME = r"^[A-Za-z0-9_.*-]{1,64}$"
+_NAME_PATTERN = r"^[A-Za-z0-9_.*-]{1,64}$"
 
 
 class TableRow(BaseModel):
-    """Hold what holds for the jobs of a service in a period, or in any (`*`)."""
+    """Hold the settings for a service's jobs in one period, or in any (`*`)."""
 
     model_config = ConfigDict(frozen=True, extra="forbid")
 
-    service: ServiceName = Field(pattern=_NAME)
-    period: PeriodName = Field(default=ANY_PERIOD, pattern=_NAME)
+    service: ServiceName = Field(pattern=_NAME_PATTERN)
+    period: PeriodName = Field(default=ANY_PERIOD, pattern=_NAME_PATTERN)
     weight: float = Field(default=1.0, gt=0, le=1_000)
     open: bool = True
     repeatable: bool = False
--- a/src/brasstray/table/table.py
+++ b/src/brasstray/table/table.py
@@ -1,4 +1,4 @@
-"""Describe the operators' table, whole, at one version."""
+"""Define a version of the operators' table."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class Table(BaseModel):
-    """Hold rows, the version, and who changed it last and when."""
+    """Hold one version of the table, with its author and the time of the change."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -25,18 +25,18 @@
     token: str = ""
 
     @model_validator(mode="after")
-    def check_rows(self) -> Table:
-        """Raise ValueError if two rows are for the same service and period."""
+    def reject_duplicate_rows(self) -> Table:
+        """Raise ValueError if two rows have the same service and period."""
         seen = set()
         for row in self.rows:
-            place = (row.service, row.period)
-            if place in seen:
+            key = (row.service, row.period)
+            if key in seen:
                 raise ValueError(f"two rows for {row.service}, {row.period}")
-            seen.add(place)
+            seen.add(key)
         return self
 
     def row(self, service: ServiceName, period: PeriodName) -> TableRow | None:
-        """Return the row for `period`, or else the one for any period."""
+        """Return the row for `period`, falling back to the one for any period."""
         found = None
         for row in self.rows:
             if row.service == service and row.period == period:
--- a/tests/journal/test_replica.py
+++ b/tests/journal/test_replica.py
@@ -1,18 +1,18 @@
-"""Check what a replica keeps, refuses and forgets."""
+"""Test which copies a replica stores, rejects and deletes."""
 
 from __future__ import annotations
 
 import pytest
 
 from brasstray.job.ids import IncarnationId
-from brasstray.journal.records import Fenced
+from brasstray.journal.records import IncarnationFenced
 from brasstray.journal.replica import Replica
 
-ONE, TWO = (Fenced(incarnation=IncarnationId(f"a.b.{n}")) for n in "12")
+ONE, TWO = (IncarnationFenced(incarnation=IncarnationId(f"a.b.{n}")) for n in "12")
 
 
 @pytest.mark.parametrize(
-    ("held", "below", "left"),
+    ("copies", "below", "remaining"),
     [
         ({}, 9, None),
         ({0: None}, 0, []),
@@ -22,19 +22,19 @@
         ({1: ONE, 5: None}, 3, []),
     ],
 )
-def test_what_is_flushed_is_forgotten(held, below, left):
+def test_drop_deletes_flushed_copies(copies, below, remaining):
     replica = Replica()
-    if held:
-        assert replica.hold(3, held)
+    if copies:
+        assert replica.hold(3, copies)
     replica.drop(3, below)
-    assert replica.fence(3) == left
+    assert replica.fence(3) == remaining
 
 
-def test_a_late_copy_of_a_replaced_leader_is_refused():
-    """A leader is replaced while its copy is under way.
+def test_a_late_copy_of_a_replaced_leader_is_rejected():
+    """Guard against two executors for one key after a takeover.
 
-    The new leader reads this replica, binds the key anew, and only then the copy
-    arrives. Were it kept and acknowledged, two executors would start the key's tasks.
+    A copy of the old leader arrives after the new leader has fenced the old term here
+    and bound the key again. Confirming the copy would let both executors start tasks.
     """
     replica = Replica()
     assert replica.fence(4) is None
@@ -44,11 +44,11 @@
     assert replica.hold(5, {0: None})
 
 
-def test_a_late_drop_does_not_reach_a_later_notice():
-    """An outage ends and another begins; the first one's drop arrives last.
+def test_a_late_drop_keeps_the_marker_of_a_later_outage():
+    """Guard against a delayed drop that deletes the marker of the next outage.
 
-    Were the second notice dropped, this replica would tell a new leader that there
-    was no outage, and a key that was bound in it would be bound again.
+    Without the marker, this replica would report to a new leader that there was no
+    outage, and a key bound in that outage would be bound again.
     """
     replica = Replica()
     replica.hold(1, {0: None, 1: ONE})
