--- a/src/brasstray/dispatch/dispatch.py
+++ b/src/brasstray/dispatch/dispatch_context.py
@@ -19,7 +19,7 @@
 
 
 @dataclass(frozen=True)
-class Dispatch:
+class DispatchContext:
     """Hold the slots, the way to minions, and the group that starts run in."""
 
     group: TaskGroup
@@ -29,7 +29,7 @@
     random: Random
     timing: DispatchTiming
     metrics: Metrics
-    retries: RetryBudget
+    retry_budget: RetryBudget
 
 
-__all__ = ["Dispatch"]
+__all__ = ["DispatchContext"]
--- a/src/brasstray/dispatch/job_run.py
+++ b/src/brasstray/dispatch/job_run.py
@@ -23,7 +23,7 @@
     from pydantic import JsonValue
 
     from brasstray.dispatch.accepted_job import AcceptedJob
-    from brasstray.dispatch.dispatch import Dispatch
+    from brasstray.dispatch.dispatch_context import DispatchContext
     from brasstray.dispatch.minion_load import MinionLoad
     from brasstray.job.ids import ServiceName
     from brasstray.job.job_id import JobId
@@ -35,9 +35,9 @@
     A job that may be repeated also resends tasks that may have run.
     """
 
-    def __init__(self, accepted: AcceptedJob, dispatch: Dispatch) -> None:
+    def __init__(self, accepted: AcceptedJob, context: DispatchContext) -> None:
         self._accepted = accepted
-        self._dispatch = dispatch
+        self._context = context
         self._digest = accepted.request.digest
         self._state = JobState.ACCEPTED
         self._tasks = [
@@ -113,7 +113,7 @@
         # A forgotten key must not have a job that still runs.
         left = min(
             self._accepted.request.deadline,
-            self._accepted.expires - self._dispatch.clock.now(),
+            self._accepted.expires - self._context.clock.now(),
         )
         with self._sending:
             with anyio.move_on_after(left.total_seconds()) as in_time:
@@ -123,7 +123,7 @@
         self._state = self._state.to(JobState.COMMITTING)
         self._answer = await commit(self, self._summarize())
         self._state = self._state.to(JobState.ANSWERED)
-        self._answered_at = self._dispatch.clock.monotonic()
+        self._answered_at = self._context.clock.monotonic()
         self._answered.set()
 
     def cancel(self) -> None:
@@ -153,13 +153,13 @@
                 self._changed = anyio.Event()
                 await self._changed.wait()
                 continue
-            load = await self._dispatch.pool.take(self)
+            load = await self._context.pool.take(self)
             if not self._pending:
-                self._dispatch.pool.give_back(load)
+                self._context.pool.give_back(load)
                 continue
             task = self._pending.popleft()
             task.advance(TaskState.SENT)
-            self._dispatch.group.start_soon(self._send, task, load)
+            self._context.group.start_soon(self._send, task, load)
 
     async def _send(self, task: TaskRun, load: MinionLoad) -> None:
         """Start `task`; this goes on when the job has given up.
@@ -167,26 +167,26 @@
         Guards against a credit that is taken for idle while the task of a cancelled
         job still fills its slot: the next start there would be refused.
         """
-        around = self._dispatch
+        context = self._context
         task.sends += 1
-        around.metrics.count_start()
+        context.metrics.count_start()
         try:
-            value = await around.minions.start(
+            value = await context.minions.start(
                 load.listed,
                 TaskId(self.job, task.index),
                 task.request,
-                around.timing.task_patience,
+                context.timing.task_patience,
             )
         except MinionError as error:
-            around.metrics.count_retry(error.reason)
-            around.pool.learn(load, self.job, error.reason)
+            context.metrics.count_retry(error.reason)
+            context.pool.learn(load, self.job, error.reason)
             self._note_failure(task, error)
         else:
             load.health.succeed()
-            around.retries.earn()
+            context.retry_budget.earn()
             self._note_success(task, value)
         finally:
-            around.pool.give_back(load)
+            context.pool.give_back(load)
 
     def _note_success(self, task: TaskRun, value: JsonValue) -> None:
         if self._state is JobState.RUNNING:
@@ -203,7 +203,7 @@
             self._give_up(Reason.TASK_DOUBTFUL)
         else:
             task.advance(TaskState.PENDING)
-            self._dispatch.group.start_soon(self._retry, task)
+            self._context.group.start_soon(self._retry, task)
 
     def _may_repeat(self, task: TaskRun) -> bool:
         # Guards against a doubled start: a reply that never came does not tell whether
@@ -211,13 +211,13 @@
         if not self._accepted.request.repeatable:
             return False
         task.repeats += 1
-        within = task.repeats <= self._dispatch.timing.repeats
-        return within and self._dispatch.retries.spend()
+        within = task.repeats <= self._context.timing.repeats
+        return within and self._context.retry_budget.spend()
 
     async def _retry(self, task: TaskRun) -> None:
-        timing, random = self._dispatch.timing, self._dispatch.random
+        timing, random = self._context.timing, self._context.random
         most = min(timing.retry_most, timing.retry_least * 2.0**task.sends)
-        await self._dispatch.clock.sleep(most * random.random())
+        await self._context.clock.sleep(most * random.random())
         self._pending.append(task)
         self._changed.set()
 
--- a/src/brasstray/entry/credit_mint.py
+++ b/src/brasstray/entry/credit_reconciler.py
@@ -19,7 +19,7 @@
 ROUNDS = 4
 
 
-class CreditMint:
+class CreditReconciler:
     """Count the credits of the minions that this host is home to, by heartbeats.
 
     A minion's home is the live host with the highest hash of both names, so hosts
@@ -105,4 +105,4 @@
     return hashlib.blake2b(f"{host}/{minion}".encode(), digest_size=8).digest()
 
 
-__all__ = ["CreditMint"]
+__all__ = ["CreditReconciler"]
--- a/src/brasstray/entry/election.py
+++ b/src/brasstray/entry/election.py
@@ -33,17 +33,21 @@
         journal_service: JournalService,
         journal: Journal,
         replicas: Replicas,
-        around: Surroundings,
+        dependencies: Surroundings,
     ) -> None:
         self._config = config
         self._membership = membership
         self._journal_service = journal_service
         self._takeover = Takeover(
-            journal, replicas, around.clock, around.random, config.timing.journal
+            journal,
+            replicas,
+            dependencies.clock,
+            dependencies.random,
+            config.timing.journal,
         )
-        self._lease = Lease(journal, around.clock, config.timing.journal)
-        self._clock = around.clock
-        self._random = around.random
+        self._lease = Lease(journal, dependencies.clock, config.timing.journal)
+        self._clock = dependencies.clock
+        self._random = dependencies.random
         self._withdrawn = False
 
     async def run(self) -> None:
--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -10,10 +10,10 @@
 from brasstray.dispatch.minion_pool import MinionPool
 from brasstray.dispatch.policies import SlotCredits
 from brasstray.entry.credit_exchange import CreditExchange
-from brasstray.entry.credit_mint import CreditMint
+from brasstray.entry.credit_reconciler import CreditReconciler
 from brasstray.entry.election import Election
 from brasstray.entry.executions import Executions
-from brasstray.entry.forwarding import Forwarding
+from brasstray.entry.forwarder import Forwarder
 from brasstray.entry.heartbeats import Heartbeats
 from brasstray.entry.job_runner import JobRunner
 from brasstray.entry.job_service import JobService
@@ -41,14 +41,18 @@
     Everything outside is passed in. Nothing is kept beyond the process.
     """
 
-    def __init__(self, config: EntryConfig, around: Surroundings) -> None:
+    def __init__(self, config: EntryConfig, dependencies: Surroundings) -> None:
         self._config = config
-        self._clock = clock = around.clock
-        self._metrics = around.metrics
+        self._clock = clock = dependencies.clock
+        self._metrics = dependencies.metrics
         self._membership = membership = Membership(config, clock)
         self._executions = Executions(clock, config.timing.dispatch)
         self._pool = MinionPool(
-            clock, around.random, config.timing.dispatch, config.slots, config.order
+            clock,
+            dependencies.random,
+            config.timing.dispatch,
+            config.slots,
+            config.order,
         )
         replica = Replica()
         self._journal_service = JournalService(config, membership)
@@ -56,44 +60,44 @@
             config,
             membership,
             self._journal_service,
-            TableStore(around.store),
-            around.peers,
+            TableStore(dependencies.store),
+            dependencies.peers,
             clock,
         )
         journal = JournalClient(
-            config, membership, self._journal_service, around.peers, clock
+            config, membership, self._journal_service, dependencies.peers, clock
         )
         self._runner = JobRunner(
-            config, self._executions, journal, self._pool, self._tables, around
+            config, self._executions, journal, self._pool, self._tables, dependencies
         )
         self._jobs = JobService(
             config,
             self._runner,
-            Forwarding(config, membership, journal, around),
+            Forwarder(config, membership, journal, dependencies),
             journal,
             self._tables,
-            around,
+            dependencies,
         )
         self._exchange = CreditExchange(
-            config, membership, self._pool, around.peers, clock
+            config, membership, self._pool, dependencies.peers, clock
         )
-        self._mint = CreditMint(config, membership, self._pool, clock)
+        self._reconciler = CreditReconciler(config, membership, self._pool, clock)
         self._election = Election(
             config,
             membership,
             self._journal_service,
-            Journal(around.store, config.data_centre),
-            PeerReplicas(config, membership, replica, around.peers),
-            around,
+            Journal(dependencies.store, config.data_centre),
+            PeerReplicas(config, membership, replica, dependencies.peers),
+            dependencies,
         )
         self._heartbeats = Heartbeats(
             config,
             membership,
             self._journal_service,
             self._pool,
-            self._mint,
+            self._reconciler,
             self._tables,
-            around,
+            dependencies,
         )
         self._peer_handler = PeerHandler(
             self._heartbeats,
@@ -157,7 +161,7 @@
             self._runner.open(group)
             if isinstance(self._config.slots, SlotCredits):
                 group.start_soon(self._exchange.run)
-                group.start_soon(self._mint.run)
+                group.start_soon(self._reconciler.run)
             group.start_soon(self._heartbeats.run)
             group.start_soon(self._tables.run)
             group.start_soon(self._election.run)
--- a/src/brasstray/entry/forwarding.py
+++ b/src/brasstray/entry/forwarder.py
@@ -33,7 +33,7 @@
 MAX_HOPS = 3
 
 
-class Forwarding:
+class Forwarder:
     """Ask the executor, or a host of the key's home, and tell only what is sure."""
 
     def __init__(
@@ -41,14 +41,14 @@
         config: EntryConfig,
         membership: Membership,
         journal: JournalClient,
-        around: Surroundings,
+        dependencies: Surroundings,
     ) -> None:
         self._config = config
         self._membership = membership
         self._journal = journal
-        self._peers = around.peers
-        self._clock = around.clock
-        self._random = around.random
+        self._peers = dependencies.peers
+        self._clock = dependencies.clock
+        self._random = dependencies.random
 
     async def to_executor(
         self,
@@ -182,4 +182,4 @@
         return not_yet_known(job.key, reason, self._config.timing.ask_again_ms)
 
 
-__all__ = ["Forwarding"]
+__all__ = ["Forwarder"]
--- a/src/brasstray/entry/heartbeats.py
+++ b/src/brasstray/entry/heartbeats.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from brasstray.dispatch.minion_pool import MinionPool
     from brasstray.entry.config import EntryConfig
-    from brasstray.entry.credit_mint import CreditMint
+    from brasstray.entry.credit_reconciler import CreditReconciler
     from brasstray.entry.journal_service import JournalService
     from brasstray.entry.membership import Membership
     from brasstray.entry.surroundings import Surroundings
@@ -34,19 +34,19 @@
         membership: Membership,
         journal_service: JournalService,
         pool: MinionPool,
-        mint: CreditMint,
+        reconciler: CreditReconciler,
         tables: TableCache,
-        around: Surroundings,
+        dependencies: Surroundings,
     ) -> None:
         self._config = config
         self._membership = membership
         self._journal_service = journal_service
         self._pool = pool
-        self._mint = mint
+        self._reconciler = reconciler
         self._tables = tables
-        self._peers = around.peers
-        self._host_list = around.host_list
-        self._clock = around.clock
+        self._peers = dependencies.peers
+        self._host_list = dependencies.host_list
+        self._clock = dependencies.clock
         self._beating: dict[HostName, anyio.CancelScope] = {}
         self._draining = False
         self._holdings: dict[IncarnationId, dict[str, int]] = {}
@@ -78,7 +78,7 @@
         now = self._clock.monotonic()
         if now != self._holdings_at:
             self._holdings_at = now
-            self._holdings = self._mint.holdings_by_home()
+            self._holdings = self._reconciler.holdings_by_home()
         return self._holdings.get(receiver, {})
 
     async def run(self) -> None:
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from brasstray.dispatch.accepted_job import AcceptedJob
-from brasstray.dispatch.dispatch import Dispatch
+from brasstray.dispatch.dispatch_context import DispatchContext
 from brasstray.dispatch.job_run import JobRun
 from brasstray.dispatch.retry_budget import RetryBudget
 from brasstray.entry.errors import JournalUnreachableError
@@ -40,17 +40,17 @@
         journal: JournalClient,
         pool: MinionPool,
         tables: TableCache,
-        around: Surroundings,
+        dependencies: Surroundings,
     ) -> None:
         self._config = config
         self._executions = executions
         self._journal = journal
         self._pool = pool
         self._tables = tables
-        self._around = around
+        self._dependencies = dependencies
         self._numbers = count()
         self._draining = False
-        self._dispatch: Dispatch | None = None
+        self._context: DispatchContext | None = None
 
     @property
     def draining(self) -> bool:
@@ -59,14 +59,14 @@
 
     def open(self, group: TaskGroup) -> None:
         """Run jobs in `group` from now on."""
-        self._dispatch = Dispatch(
+        self._context = DispatchContext(
             group,
             self._pool,
-            self._around.minions,
-            self._around.clock,
-            self._around.random,
+            self._dependencies.minions,
+            self._dependencies.clock,
+            self._dependencies.random,
             self._config.timing.dispatch,
-            self._around.metrics,
+            self._dependencies.metrics,
             RetryBudget(),
         )
 
@@ -124,13 +124,13 @@
         return None
 
     def _accept(self, job: JobId, expires: datetime, request: JobRequest) -> JobRun:
-        assert self._dispatch is not None
+        assert self._context is not None
         accepted = AcceptedJob(
             job, request, expires, next(self._numbers), self._weight_of(request)
         )
-        run = JobRun(accepted, self._dispatch)
+        run = JobRun(accepted, self._context)
         self._executions.add(run)
-        self._dispatch.group.start_soon(run.run, self._commit)
+        self._context.group.start_soon(run.run, self._commit)
         return run
 
     def _weight_of(self, request: JobRequest) -> float:
@@ -163,7 +163,7 @@
                 return may_have_run(run.job.key, Reason.EXECUTOR_FENCED, run.task_count)
             if reply.forgotten:
                 return may_have_run(run.job.key, Reason.KEY_EXPIRED, run.task_count)
-            await self._around.clock.sleep(self._config.timing.journal_retry)
+            await self._dependencies.clock.sleep(self._config.timing.journal_retry)
 
 
 def conflict(job: JobId) -> Answer:
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -27,7 +27,7 @@
 
 if TYPE_CHECKING:
     from brasstray.entry.config import EntryConfig
-    from brasstray.entry.forwarding import Forwarding
+    from brasstray.entry.forwarder import Forwarder
     from brasstray.entry.job_runner import JobRunner
     from brasstray.entry.journal_client import JournalClient
     from brasstray.entry.surroundings import Surroundings
@@ -50,18 +50,18 @@
         self,
         config: EntryConfig,
         runner: JobRunner,
-        forwarding: Forwarding,
+        forwarder: Forwarder,
         journal: JournalClient,
         tables: TableCache,
-        around: Surroundings,
+        dependencies: Surroundings,
     ) -> None:
         self._config = config
         self._runner = runner
-        self._forwarding = forwarding
+        self._forwarder = forwarder
         self._journal = journal
         self._tables = tables
-        self._clock = around.clock
-        self._random = around.random
+        self._clock = dependencies.clock
+        self._random = dependencies.random
 
     def mint(self) -> MintedKey:
         """Return a key that only this incarnation can run."""
@@ -139,7 +139,7 @@
     async def _submit(self, key: Key, submit: Submit, wait: timedelta) -> Answer:
         job, request = submit.job, submit.request
         if home_of(key) != self._config.data_centre:
-            return await self._forwarding.to_home(key, submit, wait)
+            return await self._forwarder.to_home(key, submit, wait)
         problem = _check_row(self._row(request), request)
         if isinstance(key, MintedKey):
             executor = key.executor
@@ -152,7 +152,7 @@
                     unknown = known.reason is Reason.UNKNOWN_KEY
                     return problem if unknown else known
             if self._runner.draining and self._runner.find(job) is None:
-                return await self._forwarding.to_another(submit, wait)
+                return await self._forwarder.to_another(submit, wait)
             bound = await self._bind(job, key, request)
             if isinstance(bound, Answer):
                 return bound
@@ -162,7 +162,7 @@
         if executor == self._config.incarnation:
             return await self._runner.submit(job, key.expires, request, wait, problem)
         count = len(request.tasks)
-        return await self._forwarding.to_executor(key, executor, submit, wait, count)
+        return await self._forwarder.to_executor(key, executor, submit, wait, count)
 
     async def _bind(
         self, job: JobId, key: OwnKey, request: JobRequest
@@ -183,7 +183,7 @@
         if reply.bound is None:
             return self._later(job.key, Reason.JOURNAL_IN_DOUBT)
         if reply.bound.digest == wanted.digest and reply.fenced:
-            return self._forwarding.fenced_answer(job, reply, len(request.tasks))
+            return self._forwarder.fenced_answer(job, reply, len(request.tasks))
         return reply.bound
 
     async def fetch(
@@ -213,7 +213,7 @@
     ) -> Answer:
         job = question.job
         if home_of(key) != self._config.data_centre:
-            return await self._forwarding.to_home(key, question, wait)
+            return await self._forwarder.to_home(key, question, wait)
         run = self._runner.find(job)
         if run is not None:
             if isinstance(question, Cancel):
@@ -227,7 +227,7 @@
         executor, count = found
         if executor == self._config.incarnation:
             return self._later(job.key, Reason.UNKNOWN_KEY)
-        return await self._forwarding.to_executor(key, executor, question, wait, count)
+        return await self._forwarder.to_executor(key, executor, question, wait, count)
 
     async def _executor_of(
         self, key: Key, job: JobId
