--- a/src/brasstray/dispatch/job_run.py
+++ b/src/brasstray/dispatch/job_run.py
@@ -211,12 +211,12 @@
         if not self._accepted.request.repeatable:
             return False
         task.repeats += 1
-        within = task.repeats <= self._context.timing.repeats
+        within = task.repeats <= self._context.timing.max_repeats
         return within and self._context.retry_budget.spend()
 
     async def _retry(self, task: TaskRun) -> None:
         timing, random = self._context.timing, self._context.random
-        most = min(timing.retry_most, timing.retry_least * 2.0**task.sends)
+        most = min(timing.max_retry_delay, timing.min_retry_delay * 2.0**task.sends)
         await self._context.clock.sleep(most * random.random())
         self._pending.append(task)
         self._changed.set()
--- a/src/brasstray/dispatch/minion_pool.py
+++ b/src/brasstray/dispatch/minion_pool.py
@@ -110,7 +110,7 @@
             while waiter.load is None:
                 self._demand_came.set()
                 # Minions that rest are looked at again when their rest may be over.
-                with anyio.move_on_after(self._timing.full_rest.total_seconds()):
+                with anyio.move_on_after(self._timing.full_backoff.total_seconds()):
                     await waiter.served.wait()
                 if waiter.load is None:
                     self._match()
@@ -148,7 +148,7 @@
         for minion in minions:
             load = self._loads.get(minion)
             if load is not None:
-                load.health.doubt(self._timing.eject_after - 1)
+                load.health.doubt(self._timing.eject_after_failures - 1)
 
     def learn(self, load: MinionLoad, job: JobId, reason: RetryReason) -> None:
         """Take note that a start of `job` on the minion of `load` gave no result."""
@@ -161,7 +161,7 @@
             case RetryReason.FULL:
                 # Somebody else fills the slot of this credit: two hosts held it.
                 load.credits = max(0, load.credits - 1)
-                load.rests_until = now + self._timing.full_rest
+                load.rests_until = now + self._timing.full_backoff
             case RetryReason.LEAVING:
                 load.leaving = True
                 load.credits = 0
@@ -169,19 +169,19 @@
                 # No job can be the cause, and each further try is a wasted message.
                 if not load.health.on_probation or load.health.ejected_until <= now:
                     self._eject(load, now)
-                load.rests_until = now + self._timing.refused_rest
+                load.rests_until = now + self._timing.failure_backoff
             case _:
-                load.rests_until = now + self._timing.refused_rest
+                load.rests_until = now + self._timing.failure_backoff
                 load.health.fail(job)
-                if load.health.failures >= self._timing.eject_after:
+                if load.health.failures >= self._timing.eject_after_failures:
                     self._eject(load, now)
 
     def _eject(self, load: MinionLoad, now: timedelta) -> None:
         # With many minions bad at once the cause is more likely elsewhere, and the
         # rest would be overrun: so only a part is ever ejected.
         out = sum(1 for other in self._loads.values() if other.health.on_probation)
-        if out < self._timing.ejected_share * len(self._loads):
-            least, most = self._timing.eject_least, self._timing.eject_most
+        if out < self._timing.max_ejected_share * len(self._loads):
+            least, most = self._timing.min_ejection, self._timing.max_ejection
             load.health.eject(now, least, most)
 
     def add_credits(self, granted: dict[str, int]) -> None:
--- a/src/brasstray/dispatch/timing.py
+++ b/src/brasstray/dispatch/timing.py
@@ -10,16 +10,16 @@
 class DispatchTiming:
     """Set how starts are retried and how long answers are held."""
 
-    retry_least: timedelta = timedelta(milliseconds=10)
-    retry_most: timedelta = timedelta(seconds=1)
-    full_rest: timedelta = timedelta(milliseconds=20)
-    refused_rest: timedelta = timedelta(seconds=1)
-    eject_after: int = 2
-    eject_least: timedelta = timedelta(seconds=5)
-    eject_most: timedelta = timedelta(seconds=60)
-    ejected_share: float = 0.3
+    min_retry_delay: timedelta = timedelta(milliseconds=10)
+    max_retry_delay: timedelta = timedelta(seconds=1)
+    full_backoff: timedelta = timedelta(milliseconds=20)
+    failure_backoff: timedelta = timedelta(seconds=1)
+    eject_after_failures: int = 2
+    min_ejection: timedelta = timedelta(seconds=5)
+    max_ejection: timedelta = timedelta(seconds=60)
+    max_ejected_share: float = 0.3
     task_patience: timedelta = timedelta(seconds=30)
-    repeats: int = 3
+    max_repeats: int = 3
     answer_hold: timedelta = timedelta(minutes=15)
 
 
--- a/src/brasstray/entry/credit_exchange.py
+++ b/src/brasstray/entry/credit_exchange.py
@@ -102,9 +102,9 @@
 
     async def _ask(self, peer: IncarnationId, service: ServiceName, count: int) -> None:
         message = BorrowSlots(service=service, wanted=count, held=self._pool.held)
-        patience = self._config.timing.heartbeat_patience
+        timeout = self._config.timing.peer_timeout
         try:
-            reply = await self._peers.call(host_of(peer), peer, message, patience)
+            reply = await self._peers.call(host_of(peer), peer, message, timeout)
         except PeerError:
             return
         if isinstance(reply, SlotsGranted):
@@ -163,10 +163,10 @@
             self._claims.pop(peer, None)
 
     async def _grant(self, peer: IncarnationId, given: dict[str, int]) -> None:
-        patience = self._config.timing.heartbeat_patience
+        timeout = self._config.timing.peer_timeout
         try:
             await self._peers.call(
-                host_of(peer), peer, GrantSlots(minions=given), patience
+                host_of(peer), peer, GrantSlots(minions=given), timeout
             )
         except PeerError:
             return
--- a/src/brasstray/entry/credit_reconciler.py
+++ b/src/brasstray/entry/credit_reconciler.py
@@ -48,7 +48,7 @@
         await self._clock.sleep(self._config.timing.suspect_after)
         while True:
             self._count()
-            await self._clock.sleep(self._config.timing.count_interval)
+            await self._clock.sleep(self._config.timing.reconcile_interval)
 
     def _count(self) -> None:
         elsewhere: Counter[str] = Counter()
--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -169,7 +169,7 @@
 
     async def _tidy(self) -> None:
         while True:
-            await self._clock.sleep(self._config.timing.forget_interval)
+            await self._clock.sleep(self._config.timing.purge_interval)
             self._executions.tidy()
 
     async def drain(self) -> int:
--- a/src/brasstray/entry/forwarder.py
+++ b/src/brasstray/entry/forwarder.py
@@ -87,9 +87,9 @@
                 found.append(await self._call(host, executor, question, left))
                 return
             except PeerError:
-                if left <= self._config.timing.ask_again:
+                if left <= self._config.timing.retry_after:
                     return
-            await self._clock.sleep(self._config.timing.ask_again)
+            await self._clock.sleep(self._config.timing.retry_after)
 
     async def _await_fence(
         self,
@@ -103,7 +103,7 @@
         """Find the answer to a job whose executor is silent or replaced."""
         timing = self._config.timing
         while True:
-            await self._clock.sleep(timing.ask_again / 2)
+            await self._clock.sleep(timing.retry_after / 2)
             silence = self._membership.silent_for(executor)
             suspected = silence > self._membership.suspect_after
             if not suspected and not self._membership.replaced(executor):
@@ -172,14 +172,14 @@
         question: Question,
         wait: timedelta,
     ) -> Answer:
-        patience = wait + self._config.timing.pass_on_margin
-        reply = await self._peers.call(host, receiver, question, patience)
+        timeout = wait + self._config.timing.forward_margin
+        reply = await self._peers.call(host, receiver, question, timeout)
         if isinstance(reply, AnswerReply):
             return reply.answer
         raise PeerError(f"{host} gave another reply than an answer")
 
     def _later(self, job: JobId, reason: Reason) -> Answer:
-        return not_yet_known(job.key, reason, self._config.timing.ask_again_ms)
+        return not_yet_known(job.key, reason, self._config.timing.retry_after_ms)
 
 
 __all__ = ["Forwarder"]
--- a/src/brasstray/entry/heartbeats.py
+++ b/src/brasstray/entry/heartbeats.py
@@ -114,7 +114,7 @@
         with scope:
             while True:
                 if self._is_caller(host):
-                    await self._beat_once(host, timing.heartbeat_patience)
+                    await self._beat_once(host, timing.peer_timeout)
                 await self._clock.sleep(self._membership.heartbeat_interval)
 
     def _is_caller(self, host: HostName) -> bool:
@@ -126,10 +126,10 @@
         limit = 2 * self._membership.heartbeat_interval
         return self._membership.silence_of(host) > limit
 
-    async def _beat_once(self, host: HostName, patience: timedelta) -> None:
+    async def _beat_once(self, host: HostName, timeout: timedelta) -> None:
         receiver = self._membership.incarnation_on(host)
         try:
-            reply = await self._peers.call(host, None, self.own(receiver), patience)
+            reply = await self._peers.call(host, None, self.own(receiver), timeout)
         except PeerError:
             return
         if isinstance(reply, Heartbeat):
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -106,7 +106,7 @@
         if answer is not None:
             return answer
         return not_yet_known(
-            run.job.key, Reason.RUNNING, self._config.timing.ask_again_ms
+            run.job.key, Reason.RUNNING, self._config.timing.retry_after_ms
         )
 
     def _check(
@@ -119,7 +119,7 @@
         if self._executions.unanswered >= self._config.max_jobs:
             detail = f"{self._config.max_jobs} jobs run here"
             answer = refused(job.key, Reason.OVERLOADED, detail)
-            again = self._config.timing.ask_again_ms
+            again = self._config.timing.retry_after_ms
             return answer.model_copy(update={"retry_after_ms": again})
         return None
 
@@ -163,7 +163,9 @@
                 return may_have_run(run.job.key, Reason.EXECUTOR_FENCED, run.task_count)
             if reply.forgotten:
                 return may_have_run(run.job.key, Reason.KEY_EXPIRED, run.task_count)
-            await self._dependencies.clock.sleep(self._config.timing.journal_retry)
+            await self._dependencies.clock.sleep(
+                self._config.timing.journal_retry_interval
+            )
 
 
 def conflict(job: JobId) -> Answer:
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -203,7 +203,7 @@
         match parse_key(key_text):
             case Ok(key):
                 cancel = Cancel(job=JobId(caller=caller, key=key.text()), hops=hops + 1)
-                wait = self._config.timing.journal_patience
+                wait = self._config.timing.journal_timeout
                 return await self._find(key, cancel, wait)
             case Err(detail):
                 return refused(None, Reason.BAD_REQUEST, f"key: {detail}")
@@ -246,7 +246,7 @@
         return self._later(job.key, reason)
 
     def _later(self, key: KeyText | None, reason: Reason) -> Answer:
-        return not_yet_known(key, reason, self._config.timing.ask_again_ms)
+        return not_yet_known(key, reason, self._config.timing.retry_after_ms)
 
 
 def _check_row(row: TableRow, request: JobRequest) -> Answer | None:
--- a/src/brasstray/entry/journal_client.py
+++ b/src/brasstray/entry/journal_client.py
@@ -41,12 +41,12 @@
         Raise JournalUnreachableError after the journal patience; the leader may then
         have done what was asked. Asking again is safe, since the first record stands.
         """
-        deadline = self._clock.monotonic() + self._config.timing.journal_patience
+        deadline = self._clock.monotonic() + self._config.timing.journal_timeout
         while self._clock.monotonic() < deadline:
             reply = await self._ask_once(message)
             if isinstance(reply, JournalReply):
                 return reply
-            await self._clock.sleep(self._config.timing.journal_retry)
+            await self._clock.sleep(self._config.timing.journal_retry_interval)
         raise JournalUnreachableError(f"no leader of {self._config.data_centre}")
 
     async def _ask_once(self, message: Bind | RecordAnswer | LookUp) -> Message | None:
@@ -55,9 +55,9 @@
         leader = self._membership.leader
         if leader is None or leader == self._config.incarnation:
             return None
-        patience = 2 * self._config.timing.journal.commit_patience
+        timeout = 2 * self._config.timing.journal.commit_patience
         try:
-            return await self._peers.call(host_of(leader), leader, message, patience)
+            return await self._peers.call(host_of(leader), leader, message, timeout)
         except PeerError:
             return None
 
--- a/src/brasstray/entry/peer_replicas.py
+++ b/src/brasstray/entry/peer_replicas.py
@@ -71,9 +71,9 @@
         return [member.incarnation for member in live if not member.draining]
 
     async def _call(self, replica: IncarnationId, message: Message) -> Message:
-        patience = self._config.timing.heartbeat_patience
+        timeout = self._config.timing.peer_timeout
         try:
-            return await self._peers.call(host_of(replica), replica, message, patience)
+            return await self._peers.call(host_of(replica), replica, message, timeout)
         except PeerError as error:
             raise ReplicaUnreachableError(str(error)) from error
 
--- a/src/brasstray/entry/table_cache.py
+++ b/src/brasstray/entry/table_cache.py
@@ -91,9 +91,9 @@
             await self._ask(newest.incarnation)
 
     async def _ask(self, peer: IncarnationId) -> None:
-        patience = self._config.timing.heartbeat_patience
+        timeout = self._config.timing.peer_timeout
         try:
-            reply = await self._peers.call(host_of(peer), peer, AskTable(), patience)
+            reply = await self._peers.call(host_of(peer), peer, AskTable(), timeout)
         except PeerError:
             return
         if isinstance(reply, TableReply) and reply.ready:
@@ -117,9 +117,9 @@
         found: dict[str, int | None] = {self._config.host: self._table.version}
         for centre in self._config.data_centres:
             for host in self._membership.listed_in(centre):
-                patience = self._config.timing.heartbeat_patience
+                timeout = self._config.timing.peer_timeout
                 try:
-                    reply = await self._peers.call(host, None, AskTable(), patience)
+                    reply = await self._peers.call(host, None, AskTable(), timeout)
                 except PeerError:
                     found[host] = None
                     continue
--- a/tests/dispatch/test_minion_pool.py
+++ b/tests/dispatch/test_minion_pool.py
@@ -169,12 +169,12 @@
     async def story():
         pool = pool_of([listed(number) for number in range(4)])
         bad = pool.get("m0")
-        for number in range(TIMING.eject_after):
+        for number in range(TIMING.eject_after_failures):
             bad.outstanding += 1
             pool.learn(bad, job_id(number), RetryReason.TASK_FAILED)
             pool.give_back(bad)
         assert pool.ejected == ["m0"]
-        await anyio.sleep(TIMING.eject_least / timedelta(seconds=1) + 0.1)
+        await anyio.sleep(TIMING.min_ejection / timedelta(seconds=1) + 0.1)
         assert bad.rested(pool._clock.monotonic())
         bad.outstanding = 1
         assert not bad.rested(pool._clock.monotonic())
