--- a/src/brasstray/dispatch/accepted_job.py
+++ b/src/brasstray/dispatch/accepted_job.py
@@ -19,7 +19,7 @@
     job: JobId
     request: JobRequest
     expires: datetime
-    number: int = 0
+    sequence_number: int = 0
     weight: float = 1.0
 
 
--- a/src/brasstray/dispatch/job_run.py
+++ b/src/brasstray/dispatch/job_run.py
@@ -45,9 +45,9 @@
         ]
         self._pending = deque(self._tasks)
         self._unfinished = len(self._tasks)
-        self._changed = anyio.Event()
-        self._sending = anyio.CancelScope()
-        self._gave_up: Reason | None = None
+        self._progress = anyio.Event()
+        self._send_scope = anyio.CancelScope()
+        self._stop_reason: Reason | None = None
         self._answer: Answer | None = None
         self._answered = anyio.Event()
         self._answered_at: timedelta | None = None
@@ -63,9 +63,9 @@
         return self._accepted.request.service
 
     @property
-    def number(self) -> int:
+    def sequence_number(self) -> int:
         """Return the job's place in the order of acceptance."""
-        return self._accepted.number
+        return self._accepted.sequence_number
 
     @property
     def weight(self) -> float:
@@ -111,24 +111,24 @@
         """Send every task, then commit the answer and let callers have it."""
         self._state = self._state.to(JobState.RUNNING)
         # A forgotten key must not have a job that still runs.
-        left = min(
+        time_left = min(
             self._accepted.request.deadline,
             self._accepted.expires - self._context.clock.now(),
         )
-        with self._sending:
-            with anyio.move_on_after(left.total_seconds()) as in_time:
+        with self._send_scope:
+            with anyio.move_on_after(time_left.total_seconds()) as deadline_scope:
                 await self._send_all()
-            if in_time.cancelled_caught:
-                self._gave_up = Reason.DEADLINE
+            if deadline_scope.cancelled_caught:
+                self._stop_reason = Reason.DEADLINE
         self._state = self._state.to(JobState.COMMITTING)
-        self._answer = await commit(self, self._summarize())
+        self._answer = await commit(self, self._build_answer())
         self._state = self._state.to(JobState.ANSWERED)
         self._answered_at = self._context.clock.monotonic()
         self._answered.set()
 
     def cancel(self) -> None:
         """Stop starts at once; what was sent may have run."""
-        self._give_up(Reason.CANCELLED)
+        self._stop(Reason.CANCELLED)
 
     async def answer(self, wait: timedelta) -> Answer | None:
         """Return the committed answer, or None if there is none within `wait`."""
@@ -142,20 +142,20 @@
             self._answer = lost_answer(self._answer)
         self._tasks, self._pending = [], deque()
 
-    def _give_up(self, reason: Reason) -> None:
+    def _stop(self, reason: Reason) -> None:
         if self._state in (JobState.ACCEPTED, JobState.RUNNING):
-            self._gave_up = self._gave_up or reason
-            self._sending.cancel()
+            self._stop_reason = self._stop_reason or reason
+            self._send_scope.cancel()
 
     async def _send_all(self) -> None:
         while self._unfinished:
             if not self._pending:
-                self._changed = anyio.Event()
-                await self._changed.wait()
+                self._progress = anyio.Event()
+                await self._progress.wait()
                 continue
-            load = await self._context.pool.take(self)
+            load = await self._context.pool.acquire(self)
             if not self._pending:
-                self._context.pool.give_back(load)
+                self._context.pool.release(load)
                 continue
             task = self._pending.popleft()
             task.advance(TaskState.SENT)
@@ -168,7 +168,7 @@
         job still fills its slot: the next start there would be refused.
         """
         context = self._context
-        task.sends += 1
+        task.send_count += 1
         context.metrics.count_start()
         try:
             value = await context.minions.start(
@@ -179,56 +179,58 @@
             )
         except MinionError as error:
             context.metrics.count_retry(error.reason)
-            context.pool.learn(load, self.job, error.reason)
-            self._note_failure(task, error)
+            context.pool.record_failure(load, self.job, error.reason)
+            self._record_failure(task, error)
         else:
-            load.health.succeed()
-            context.retry_budget.earn()
-            self._note_success(task, value)
+            load.health.record_success()
+            context.retry_budget.deposit()
+            self._record_success(task, value)
         finally:
-            context.pool.give_back(load)
+            context.pool.release(load)
 
-    def _note_success(self, task: TaskRun, value: JsonValue) -> None:
+    def _record_success(self, task: TaskRun, value: JsonValue) -> None:
         if self._state is JobState.RUNNING:
             task.value = value
             task.advance(TaskState.DONE)
             self._unfinished -= 1
-            self._changed.set()
+            self._progress.set()
 
-    def _note_failure(self, task: TaskRun, error: MinionError) -> None:
+    def _record_failure(self, task: TaskRun, error: MinionError) -> None:
         if self._state is not JobState.RUNNING:
             return
-        if isinstance(error, TaskMayHaveRunError) and not self._may_repeat(task):
+        if isinstance(error, TaskMayHaveRunError) and not self._claim_repeat(task):
             task.advance(TaskState.MAY_HAVE_RUN)
-            self._give_up(Reason.TASK_DOUBTFUL)
+            self._stop(Reason.TASK_DOUBTFUL)
         else:
             task.advance(TaskState.PENDING)
             self._context.group.start_soon(self._retry, task)
 
-    def _may_repeat(self, task: TaskRun) -> bool:
+    def _claim_repeat(self, task: TaskRun) -> bool:
         # Guards against a doubled start: a reply that never came does not tell whether
         # the task ran, so only a job that may be repeated sends it again.
         if not self._accepted.request.repeatable:
             return False
-        task.repeats += 1
-        within = task.repeats <= self._context.timing.max_repeats
-        return within and self._context.retry_budget.spend()
+        task.repeat_count += 1
+        within = task.repeat_count <= self._context.timing.max_repeats
+        return within and self._context.retry_budget.try_withdraw()
 
     async def _retry(self, task: TaskRun) -> None:
         timing, random = self._context.timing, self._context.random
-        most = min(timing.max_retry_delay, timing.min_retry_delay * 2.0**task.sends)
-        await self._context.clock.sleep(most * random.random())
+        max_delay = min(
+            timing.max_retry_delay, timing.min_retry_delay * 2.0**task.send_count
+        )
+        await self._context.clock.sleep(max_delay * random.random())
         self._pending.append(task)
-        self._changed.set()
+        self._progress.set()
 
-    def _summarize(self) -> Answer:
+    def _build_answer(self) -> Answer:
         for task in self._tasks:
-            task.end()
+            task.finalize()
         complete = all(task.state is TaskState.DONE for task in self._tasks)
         return Answer(
             key=self._accepted.job.key,
             outcome=Outcome.COMPLETE if complete else Outcome.FAILED,
-            reason=None if complete else self._gave_up,
+            reason=None if complete else self._stop_reason,
             tasks=[TaskReport(state=t.state, value=t.value) for t in self._tasks],
         ).with_digest()
 
--- a/src/brasstray/dispatch/minion_health.py
+++ b/src/brasstray/dispatch/minion_health.py
@@ -19,7 +19,7 @@
     """
 
     failures: int = 0
-    failed_job: JobId | None = None
+    last_failed_job: JobId | None = None
     ejections: int = 0
     ejected_until: timedelta = timedelta(0)
 
@@ -28,29 +28,31 @@
         """Tell whether the minion was ejected and has done nothing since."""
         return self.ejections > 0
 
-    def succeed(self) -> None:
+    def record_success(self) -> None:
         """Take note of a start that gave a result."""
         self.failures = 0
         self.ejections = 0
-        self.failed_job = None
+        self.last_failed_job = None
 
-    def fail(self, job: JobId) -> None:
+    def record_failure(self, job: JobId) -> None:
         """Take note of a start of `job` that gave none.
 
         Guards against a job that fails wherever it is sent: it counts once for each
         minion, so that it ejects none alone.
         """
-        if job != self.failed_job:
+        if job != self.last_failed_job:
             self.failures += 1
-            self.failed_job = job
+            self.last_failed_job = job
 
-    def doubt(self, failures: int) -> None:
+    def assume_failures(self, failures: int) -> None:
         """Take a peer's ejection for as much evidence as `failures` of one's own."""
         self.failures = max(self.failures, failures)
 
-    def eject(self, now: timedelta, least: timedelta, most: timedelta) -> None:
+    def eject(
+        self, now: timedelta, min_duration: timedelta, max_duration: timedelta
+    ) -> None:
         """Keep work away for a time that doubles with each ejection."""
-        self.ejected_until = now + min(most, least * 2**self.ejections)
+        self.ejected_until = now + min(max_duration, min_duration * 2**self.ejections)
         self.ejections += 1
         self.failures = 0
 
--- a/src/brasstray/dispatch/minion_load.py
+++ b/src/brasstray/dispatch/minion_load.py
@@ -26,7 +26,7 @@
     outstanding: int = 0
     credits: int = 0
     leaving: bool = False
-    rests_until: timedelta = timedelta(0)
+    backoff_until: timedelta = timedelta(0)
     health: MinionHealth = field(default_factory=MinionHealth)
 
     @property
@@ -39,11 +39,11 @@
         """Return how many credits no start uses."""
         return max(0, self.credits - self.outstanding)
 
-    def rested(self, now: timedelta) -> bool:
+    def can_start(self, now: timedelta) -> bool:
         """Tell whether a start may be sent at `now`, by the monotonic clock."""
         if self.health.on_probation and self.outstanding:
             return False
-        resting = max(self.rests_until, self.health.ejected_until) > now
+        resting = max(self.backoff_until, self.health.ejected_until) > now
         return self.staying and not resting
 
 
--- a/src/brasstray/dispatch/minion_pool.py
+++ b/src/brasstray/dispatch/minion_pool.py
@@ -32,7 +32,7 @@
     from brasstray.job.job_id import JobId
     from brasstray.store.listed_host import ListedHost
 
-_CHOICES = 2
+_SAMPLE_SIZE = 2
 
 
 class MinionPool:
@@ -54,8 +54,8 @@
         self._loads: dict[str, MinionLoad] = {}
         self._idle: dict[str, MinionLoad] = {}
         self._waiters: list[SlotWaiter] = []
-        self._demand_came = anyio.Event()
-        self._on_idle: Callable[[MinionLoad], None] | None = None
+        self._demand_event = anyio.Event()
+        self._idle_callback: Callable[[MinionLoad], None] | None = None
 
     @property
     def loads(self) -> list[MinionLoad]:
@@ -63,7 +63,7 @@
         return list(self._loads.values())
 
     @property
-    def held(self) -> int:
+    def held_credits(self) -> int:
         """Return how many credits this host holds."""
         return sum(load.credits for load in self._loads.values())
 
@@ -75,9 +75,9 @@
             demand[waiter.job.service] += waiter.job.unsent
         return demand
 
-    def call_on_idle(self, function: Callable[[MinionLoad], None]) -> None:
+    def set_idle_callback(self, function: Callable[[MinionLoad], None]) -> None:
         """Call `function` when a credit has become idle, before a job here gets it."""
-        self._on_idle = function
+        self._idle_callback = function
 
     def get(self, minion: str) -> MinionLoad | None:
         """Return what is known of a minion."""
@@ -98,43 +98,43 @@
                 load.services.add(minion.service)
             if not load.staying:
                 load.credits = 0
-            self._index(load)
-        self._match()
+            self._update_idle(load)
+        self._assign_slots()
 
-    async def take(self, job: WaitingJob) -> MinionLoad:
+    async def acquire(self, job: WaitingJob) -> MinionLoad:
         """Wait for a slot for a task of `job` and return its minion."""
         waiter = SlotWaiter(job)
         self._waiters.append(waiter)
-        self._match()
+        self._assign_slots()
         try:
             while waiter.load is None:
-                self._demand_came.set()
+                self._demand_event.set()
                 # Minions that rest are looked at again when their rest may be over.
                 with anyio.move_on_after(self._timing.full_backoff.total_seconds()):
-                    await waiter.served.wait()
+                    await waiter.assigned.wait()
                 if waiter.load is None:
-                    self._match()
+                    self._assign_slots()
         except BaseException:
             if waiter.load is not None:
-                self.give_back(waiter.load)
+                self.release(waiter.load)
             else:
                 self._waiters.remove(waiter)
             raise
         return waiter.load
 
-    async def demanded(self) -> None:
+    async def wait_for_demand(self) -> None:
         """Wait until a job waits for a slot."""
         while not self._waiters:
-            self._demand_came = anyio.Event()
-            await self._demand_came.wait()
+            self._demand_event = anyio.Event()
+            await self._demand_event.wait()
 
-    def give_back(self, load: MinionLoad) -> None:
+    def release(self, load: MinionLoad) -> None:
         """End a start that was sent to the minion of `load`."""
         load.outstanding -= 1
-        self._index(load)
-        if self._on_idle is not None and load.idle_credits:
-            self._on_idle(load)
-        self._match()
+        self._update_idle(load)
+        if self._idle_callback is not None and load.idle_credits:
+            self._idle_callback(load)
+        self._assign_slots()
 
     @property
     def ejected(self) -> list[str]:
@@ -143,25 +143,25 @@
         loads = self._loads.items()
         return [name for name, load in loads if load.health.ejected_until > now]
 
-    def hear_ejected(self, minions: list[str]) -> None:
+    def record_peer_ejections(self, minions: list[str]) -> None:
         """Take note that a peer keeps work away from `minions`."""
         for minion in minions:
             load = self._loads.get(minion)
             if load is not None:
-                load.health.doubt(self._timing.eject_after_failures - 1)
+                load.health.assume_failures(self._timing.eject_after_failures - 1)
 
-    def learn(self, load: MinionLoad, job: JobId, reason: RetryReason) -> None:
+    def record_failure(self, load: MinionLoad, job: JobId, reason: RetryReason) -> None:
         """Take note that a start of `job` on the minion of `load` gave no result."""
-        self._learn(load, job, reason)
-        self._index(load)
+        self._apply_failure(load, job, reason)
+        self._update_idle(load)
 
-    def _learn(self, load: MinionLoad, job: JobId, reason: RetryReason) -> None:
+    def _apply_failure(self, load: MinionLoad, job: JobId, reason: RetryReason) -> None:
         now = self._clock.monotonic()
         match reason:
             case RetryReason.FULL:
                 # Somebody else fills the slot of this credit: two hosts held it.
                 load.credits = max(0, load.credits - 1)
-                load.rests_until = now + self._timing.full_backoff
+                load.backoff_until = now + self._timing.full_backoff
             case RetryReason.LEAVING:
                 load.leaving = True
                 load.credits = 0
@@ -169,20 +169,25 @@
                 # No job can be the cause, and each further try is a wasted message.
                 if not load.health.on_probation or load.health.ejected_until <= now:
                     self._eject(load, now)
-                load.rests_until = now + self._timing.failure_backoff
+                load.backoff_until = now + self._timing.failure_backoff
             case _:
-                load.rests_until = now + self._timing.failure_backoff
-                load.health.fail(job)
+                load.backoff_until = now + self._timing.failure_backoff
+                load.health.record_failure(job)
                 if load.health.failures >= self._timing.eject_after_failures:
                     self._eject(load, now)
 
     def _eject(self, load: MinionLoad, now: timedelta) -> None:
         # With many minions bad at once the cause is more likely elsewhere, and the
         # rest would be overrun: so only a part is ever ejected.
-        out = sum(1 for other in self._loads.values() if other.health.on_probation)
-        if out < self._timing.max_ejected_share * len(self._loads):
-            least, most = self._timing.min_ejection, self._timing.max_ejection
-            load.health.eject(now, least, most)
+        ejected_count = sum(
+            1 for other in self._loads.values() if other.health.on_probation
+        )
+        if ejected_count < self._timing.max_ejected_share * len(self._loads):
+            min_duration, max_duration = (
+                self._timing.min_ejection,
+                self._timing.max_ejection,
+            )
+            load.health.eject(now, min_duration, max_duration)
 
     def add_credits(self, granted: dict[str, int]) -> None:
         """Hold more credits."""
@@ -190,26 +195,26 @@
             load = self._loads.get(minion)
             if load is not None and load.staying:
                 load.credits = min(load.credits + count, load.listed.slots)
-                self._index(load)
-        self._match()
+                self._update_idle(load)
+        self._assign_slots()
 
-    def yield_credits(self, service: ServiceName, most: int) -> dict[str, int]:
-        """Give up to `most` idle credits of minions that run `service`."""
-        given: dict[str, int] = {}
+    def yield_credits(self, service: ServiceName, limit: int) -> dict[str, int]:
+        """Give up to `limit` idle credits of minions that run `service`."""
+        yielded: dict[str, int] = {}
         for name, load in list(self._idle.items()):
             if service in load.services and load.staying:
-                count = min(load.idle_credits, most - sum(given.values()))
+                count = min(load.idle_credits, limit - sum(yielded.values()))
                 if count > 0:
                     self.drop_credits(load, count)
-                    given[name] = count
-        return given
+                    yielded[name] = count
+        return yielded
 
     def drop_credits(self, load: MinionLoad, count: int) -> None:
         """Hold up to `count` fewer of a minion's idle credits."""
         load.credits -= min(load.idle_credits, count)
-        self._index(load)
+        self._update_idle(load)
 
-    def _index(self, load: MinionLoad) -> None:
+    def _update_idle(self, load: MinionLoad) -> None:
         # Keeps the choice cheap with hundreds of minions; the one that has been idle
         # for longest comes first.
         if not load.idle_credits:
@@ -217,52 +222,54 @@
         else:
             self._idle.setdefault(load.listed.name, load)
 
-    def _match(self) -> None:
+    def _assign_slots(self) -> None:
         full: set[ServiceName] = set()
-        for waiter in sorted(self._waiters, key=self._rank):
+        for waiter in sorted(self._waiters, key=self._sort_key):
             service = waiter.job.service
             if service in full:
                 continue
-            load = self._choose(service)
+            load = self._select_minion(service)
             if load is None:
                 full.add(service)
                 continue
             load.outstanding += 1
-            self._index(load)
+            self._update_idle(load)
             waiter.load = load
-            waiter.served.set()
+            waiter.assigned.set()
             self._waiters.remove(waiter)
 
-    def _rank(self, waiter: SlotWaiter) -> float:
+    def _sort_key(self, waiter: SlotWaiter) -> float:
         match self._order:
             case FirstComeFirst():
-                return waiter.job.number
+                return waiter.job.sequence_number
             case RoundRobin():
                 return 0
             case ShortestRemainingFirst():
                 return waiter.job.unfinished / waiter.job.weight
 
-    def _choose(self, service: ServiceName) -> MinionLoad | None:
+    def _select_minion(self, service: ServiceName) -> MinionLoad | None:
         match self._slots:
             case BlindRandom():
-                open_ = list(self._open(self._loads.values(), service))
-                return self._random.choice(open_) if open_ else None
+                eligible = list(self._eligible(self._loads.values(), service))
+                return self._random.choice(eligible) if eligible else None
             case TwoChoices():
-                open_ = list(self._open(self._loads.values(), service))
-                free = [load for load in open_ if _free(load) > 0]
-                drawn = self._random.sample(free, min(_CHOICES, len(free)))
-                return min(drawn, key=lambda load: load.outstanding, default=None)
+                eligible = list(self._eligible(self._loads.values(), service))
+                free = [load for load in eligible if _free_slots(load) > 0]
+                sampled = self._random.sample(free, min(_SAMPLE_SIZE, len(free)))
+                return min(sampled, key=lambda load: load.outstanding, default=None)
             case SlotCredits():
-                return next(self._open(self._idle.values(), service), None)
+                return next(self._eligible(self._idle.values(), service), None)
 
-    def _open(
+    def _eligible(
         self, loads: Iterable[MinionLoad], service: ServiceName
     ) -> Iterator[MinionLoad]:
         now = self._clock.monotonic()
-        return (load for load in loads if service in load.services and load.rested(now))
+        return (
+            load for load in loads if service in load.services and load.can_start(now)
+        )
 
 
-def _free(load: MinionLoad) -> int:
+def _free_slots(load: MinionLoad) -> int:
     return load.listed.slots - load.outstanding
 
 
--- a/src/brasstray/dispatch/retry_budget.py
+++ b/src/brasstray/dispatch/retry_budget.py
@@ -2,8 +2,8 @@
 
 from __future__ import annotations
 
-EARNED_PER_SUCCESS = 0.1
-MOST_SAVED = 50.0
+DEPOSIT_PER_SUCCESS = 0.1
+MAX_BALANCE = 50.0
 
 
 class RetryBudget:
@@ -14,17 +14,17 @@
     """
 
     def __init__(self) -> None:
-        self._saved = MOST_SAVED
+        self._balance = MAX_BALANCE
 
-    def earn(self) -> None:
+    def deposit(self) -> None:
         """Take note of a success."""
-        self._saved = min(MOST_SAVED, self._saved + EARNED_PER_SUCCESS)
+        self._balance = min(MAX_BALANCE, self._balance + DEPOSIT_PER_SUCCESS)
 
-    def spend(self) -> bool:
+    def try_withdraw(self) -> bool:
         """Tell whether one more repeat is allowed, and take it."""
-        if self._saved < 1:
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
 
 
--- a/src/brasstray/dispatch/slot_waiter.py
+++ b/src/brasstray/dispatch/slot_waiter.py
@@ -20,7 +20,7 @@
         """Return the service whose minions can run the job's tasks."""
 
     @property
-    def number(self) -> int:
+    def sequence_number(self) -> int:
         """Return the job's place in the order of acceptance."""
 
     @property
@@ -42,7 +42,7 @@
 
     job: WaitingJob
     load: MinionLoad | None = None
-    served: anyio.Event = field(default_factory=anyio.Event)
+    assigned: anyio.Event = field(default_factory=anyio.Event)
 
 
 __all__ = ["SlotWaiter", "WaitingJob"]
--- a/src/brasstray/dispatch/task_run.py
+++ b/src/brasstray/dispatch/task_run.py
@@ -21,14 +21,14 @@
     request: TaskRequest
     state: TaskState = TaskState.PENDING
     value: JsonValue = None
-    sends: int = 0
-    repeats: int = 0
+    send_count: int = 0
+    repeat_count: int = 0
 
-    def advance(self, after: TaskState) -> None:
+    def advance(self, next_state: TaskState) -> None:
         """Move on to state `after`; raise TransitionError if it cannot follow."""
-        self.state = self.state.to(after)
+        self.state = self.state.to(next_state)
 
-    def end(self) -> None:
+    def finalize(self) -> None:
         """Move on to the final state that the job's end leaves this task in."""
         match self.state:
             case TaskState.PENDING:
--- a/src/brasstray/entry/credit_exchange.py
+++ b/src/brasstray/entry/credit_exchange.py
@@ -62,9 +62,9 @@
         self._claims: dict[IncarnationId, _Claim] = {}
         self._reserved: dict[IncarnationId, Counter[str]] = {}
         self._idle = anyio.Event()
-        pool.call_on_idle(self._note_idle)
+        pool.set_idle_callback(self._on_idle_credit)
 
-    def _note_idle(self, load: MinionLoad) -> None:
+    def _on_idle_credit(self, load: MinionLoad) -> None:
         if not self._claims:
             return
         self._idle.set()
@@ -89,7 +89,7 @@
 
     async def _borrow(self) -> None:
         while True:
-            await self._pool.demanded()
+            await self._pool.wait_for_demand()
             async with anyio.create_task_group() as group:
                 for service, count in self._pool.demand.items():
                     for peer in self._asked_peers():
@@ -101,7 +101,9 @@
         return [member.incarnation for member in live[:ASKED_PEERS]]
 
     async def _ask(self, peer: IncarnationId, service: ServiceName, count: int) -> None:
-        message = BorrowSlots(service=service, wanted=count, held=self._pool.held)
+        message = BorrowSlots(
+            service=service, wanted=count, held=self._pool.held_credits
+        )
         timeout = self._config.timing.peer_timeout
         try:
             reply = await self._peers.call(host_of(peer), peer, message, timeout)
@@ -117,7 +119,7 @@
             given = self._pool.yield_credits(message.service, message.wanted)
         count = sum(given.values())
         wanted = message.wanted - count
-        surplus = self._pool.held - (message.held + count)
+        surplus = self._pool.held_credits - (message.held + count)
         if wanted > 0:
             self._claims[peer] = _Claim(
                 service=message.service,
@@ -178,7 +180,7 @@
         for load in self._pool.loads:
             services.update(load.services)
         for service in services if live else ():
-            given = self._pool.yield_credits(service, self._pool.held)
+            given = self._pool.yield_credits(service, self._pool.held_credits)
             if given:
                 await self._grant(live[0].incarnation, given)
 
--- a/src/brasstray/entry/heartbeats.py
+++ b/src/brasstray/entry/heartbeats.py
@@ -69,7 +69,7 @@
             term=leader.writer.term if leader else self._membership.term,
             leader=self._config.incarnation if leader else self._membership.leader,
             table_version=self._tables.table.version,
-            held=self._pool.held,
+            held=self._pool.held_credits,
             holdings={} if receiver is None else self._holdings_for(receiver),
             ejected=self._pool.ejected,
         )
@@ -139,7 +139,7 @@
         """Take note of a peer's heartbeat, or of its reply to one."""
         if data_centre_of(heartbeat.sender) == self._config.data_centre:
             self._membership.hear(heartbeat)
-            self._pool.hear_ejected(heartbeat.ejected)
+            self._pool.record_peer_ejections(heartbeat.ejected)
 
 
 __all__ = ["Heartbeats"]
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -48,7 +48,7 @@
         self._pool = pool
         self._tables = tables
         self._dependencies = dependencies
-        self._numbers = count()
+        self._sequence_numbers = count()
         self._draining = False
         self._context: DispatchContext | None = None
 
@@ -126,7 +126,11 @@
     def _accept(self, job: JobId, expires: datetime, request: JobRequest) -> JobRun:
         assert self._context is not None
         accepted = AcceptedJob(
-            job, request, expires, next(self._numbers), self._weight_of(request)
+            job,
+            request,
+            expires,
+            next(self._sequence_numbers),
+            self._weight_of(request),
         )
         run = JobRun(accepted, self._context)
         self._executions.add(run)
--- a/tests/dispatch/test_minion_pool.py
+++ b/tests/dispatch/test_minion_pool.py
@@ -32,7 +32,7 @@
 
 @dataclass
 class Job:
-    number: int = 0
+    sequence_number: int = 0
     unfinished: int = 1
     unsent: int = 1
     weight: float = 1.0
@@ -81,26 +81,26 @@
 def test_the_order_of_jobs(order, expected):
     async def story():
         pool = pool_of([listed(0, slots=1)], order=order)
-        first = await pool.take(Job())
+        first = await pool.acquire(Job())
         turns = []
 
         async def run(job):
             while job.unsent:
-                load = await pool.take(job)
+                load = await pool.acquire(job)
                 job.unsent -= 1
                 job.unfinished -= 1
-                turns.append(job.number)
+                turns.append(job.sequence_number)
                 group.start_soon(end, load)
 
         async def end(load):
             await anyio.sleep(0.01)
-            pool.give_back(load)
+            pool.release(load)
 
         async with anyio.create_task_group() as group:
             for number, tasks in ((1, 2), (0, 3), (2, 1)):
                 group.start_soon(run, Job(number, tasks, tasks))
                 await anyio.sleep(0.001)
-            pool.give_back(first)
+            pool.release(first)
         return turns
 
     assert on_clock(story) == expected
@@ -110,15 +110,15 @@
     async def story():
         pool = pool_of([listed(0), listed(1)], SlotCredits())
         with anyio.move_on_after(1) as waited:
-            await pool.take(Job())
+            await pool.acquire(Job())
         assert waited.cancelled_caught
         pool.add_credits({"m1": 1})
-        load = await pool.take(Job())
+        load = await pool.acquire(Job())
         assert load.listed.name == "m1"
         assert pool.yield_credits(LEAVE, 9) == {}
-        pool.give_back(load)
+        pool.release(load)
         assert pool.yield_credits(LEAVE, 9) == {"m1": 1}
-        assert pool.held == 0
+        assert pool.held_credits == 0
 
     on_clock(story)
 
@@ -133,10 +133,10 @@
     async def story():
         pool = pool_of([listed(0)], SlotCredits())
         pool.add_credits({"m0": 2})
-        load = await pool.take(Job())
-        pool.learn(load, job_id(1), RetryReason.FULL)
-        pool.give_back(load)
-        assert pool.held == 1
+        load = await pool.acquire(Job())
+        pool.record_failure(load, job_id(1), RetryReason.FULL)
+        pool.release(load)
+        assert pool.held_credits == 1
 
     on_clock(story)
 
@@ -153,7 +153,7 @@
 def test_only_minions_that_stay_and_serve_are_chosen(minions, service, open_):
     async def story():
         pool = pool_of(minions)
-        loads = [await pool.take(Job(service=service)) for _ in range(2)]
+        loads = [await pool.acquire(Job(service=service)) for _ in range(2)]
         return {load.listed.name for load in loads}
 
     assert on_clock(story) == open_
@@ -171,15 +171,15 @@
         bad = pool.get("m0")
         for number in range(TIMING.eject_after_failures):
             bad.outstanding += 1
-            pool.learn(bad, job_id(number), RetryReason.TASK_FAILED)
-            pool.give_back(bad)
+            pool.record_failure(bad, job_id(number), RetryReason.TASK_FAILED)
+            pool.release(bad)
         assert pool.ejected == ["m0"]
         await anyio.sleep(TIMING.min_ejection / timedelta(seconds=1) + 0.1)
-        assert bad.rested(pool._clock.monotonic())
+        assert bad.can_start(pool._clock.monotonic())
         bad.outstanding = 1
-        assert not bad.rested(pool._clock.monotonic())
-        bad.health.succeed()
-        assert bad.rested(pool._clock.monotonic())
+        assert not bad.can_start(pool._clock.monotonic())
+        bad.health.record_success()
+        assert bad.can_start(pool._clock.monotonic())
 
     on_clock(story)
 
@@ -189,7 +189,7 @@
         pool = pool_of([listed(number) for number in range(4)])
         load = pool.get("m0")
         load.outstanding += 1
-        pool.learn(load, job_id(1), RetryReason.CONNECTION_REFUSED)
+        pool.record_failure(load, job_id(1), RetryReason.CONNECTION_REFUSED)
         assert pool.ejected == ["m0"]
 
     on_clock(story)
@@ -201,8 +201,8 @@
         for load in pool.loads:
             for _ in range(5):
                 load.outstanding += 1
-                pool.learn(load, job_id(7), RetryReason.TASK_FAILED)
-                pool.give_back(load)
+                pool.record_failure(load, job_id(7), RetryReason.TASK_FAILED)
+                pool.release(load)
         assert pool.ejected == []
 
     on_clock(story)
@@ -214,8 +214,8 @@
         for load in pool.loads:
             for number in range(3):
                 load.outstanding += 1
-                pool.learn(load, job_id(number), RetryReason.SILENT)
-                pool.give_back(load)
+                pool.record_failure(load, job_id(number), RetryReason.SILENT)
+                pool.release(load)
         assert len(pool.ejected) == 3
 
     on_clock(story)
@@ -224,11 +224,11 @@
 def test_a_peers_ejection_counts_as_evidence():
     async def story():
         pool = pool_of([listed(number) for number in range(4)])
-        pool.hear_ejected(["m0", "unknown"])
+        pool.record_peer_ejections(["m0", "unknown"])
         load = pool.get("m0")
         load.outstanding += 1
-        pool.learn(load, job_id(1), RetryReason.CONNECTION_LOST)
-        pool.give_back(load)
+        pool.record_failure(load, job_id(1), RetryReason.CONNECTION_LOST)
+        pool.release(load)
         assert pool.ejected == ["m0"]
 
     on_clock(story)
--- a/tests/dispatch/test_retry_budget.py
+++ b/tests/dispatch/test_retry_budget.py
@@ -4,7 +4,11 @@
 
 import pytest
 
-from brasstray.dispatch.retry_budget import EARNED_PER_SUCCESS, MOST_SAVED, RetryBudget
+from brasstray.dispatch.retry_budget import (
+    DEPOSIT_PER_SUCCESS,
+    MAX_BALANCE,
+    RetryBudget,
+)
 
 
 @pytest.mark.parametrize("successes", [0, 100, 10_000])
@@ -15,17 +19,17 @@
     and keep the minions failing.
     """
     budget = RetryBudget()
-    while budget.spend():
+    while budget.try_withdraw():
         pass
     repeats = 0
     for _ in range(successes):
-        budget.earn()
-        repeats += budget.spend()
-    assert repeats == pytest.approx(successes * EARNED_PER_SUCCESS, abs=1)
+        budget.deposit()
+        repeats += budget.try_withdraw()
+    assert repeats == pytest.approx(successes * DEPOSIT_PER_SUCCESS, abs=1)
 
 
 def test_what_is_saved_is_bounded():
     budget = RetryBudget()
     for _ in range(100_000):
-        budget.earn()
-    assert sum(budget.spend() for _ in range(1_000)) == MOST_SAVED
+        budget.deposit()
+    assert sum(budget.try_withdraw() for _ in range(1_000)) == MAX_BALANCE
