--- a/src/brasstray/entry/credit_exchange.py
+++ b/src/brasstray/entry/credit_exchange.py
@@ -97,7 +97,7 @@
             await self._clock.sleep(self._config.timing.borrow_interval)
 
     def _asked_peers(self) -> list[IncarnationId]:
-        live = sorted(self._membership.live(), key=lambda member: -member.held)
+        live = sorted(self._membership.live(), key=lambda member: -member.held_credits)
         return [member.incarnation for member in live[:ASKED_PEERS]]
 
     async def _ask(self, peer: IncarnationId, service: ServiceName, count: int) -> None:
--- a/src/brasstray/entry/election.py
+++ b/src/brasstray/entry/election.py
@@ -55,18 +55,18 @@
         timing = self._config.timing
         while True:
             await self._clock.sleep(timing.heartbeat)
-            if self._withdrawn or self._membership.leader_lives():
+            if self._withdrawn or self._membership.is_leader_live():
                 continue
             # Spreads candidates, so that one usually finds no rival at the journal.
             await self._clock.sleep(timing.heartbeat * self._random.random())
-            if not self._membership.leader_lives() and await self._may_replace():
+            if not self._membership.is_leader_live() and await self._may_take_over():
                 await self._take_over()
 
-    async def _may_replace(self) -> bool:
+    async def _may_take_over(self) -> bool:
         # Guards against a host that is cut off from its peers but not from the
         # platform: it would depose a leader that all others hear, again and again.
         # Such a host first watches the leader's lease for longer than a renewal takes.
-        if self._membership.hears_most():
+        if self._membership.hears_half():
             return True
         try:
             return not await self._lease.is_renewed()
@@ -78,27 +78,27 @@
         try:
             leader = await self._takeover.run(self._config.incarnation, term)
         except NewerTermError as error:
-            self._membership.note_leader(error.term, error.leader)
+            self._membership.record_leader(error.term, error.leader)
             return
         except JournalError as error:
             log_message("brasstray:takeover_failed", error=str(error))
             return
         term = leader.writer.term
         log_message("brasstray:leads", term=term, replicas=leader.writer.replicas)
-        self._membership.note_leader(term, self._config.incarnation)
+        self._membership.record_leader(term, self._config.incarnation)
         self._journal_service.set_leader(leader)
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._lease.keep)
-                group.start_soon(self._notice_later_term, leader, group)
+                group.start_soon(self._watch_for_later_term, leader, group)
                 await leader.writer.run()
                 group.cancel_scope.cancel()
         finally:
             self._journal_service.set_leader(None)
-            self._membership.forget_leader(self._config.incarnation)
+            self._membership.clear_leader(self._config.incarnation)
             log_message("brasstray:leads_no_more", term=leader.writer.term)
 
-    async def _notice_later_term(self, leader: Leader, group: TaskGroup) -> None:
+    async def _watch_for_later_term(self, leader: Leader, group: TaskGroup) -> None:
         # Guards against a leader that is idle, so that no write tells it of its end,
         # and goes on to say that it knows of no binding.
         while self._membership.term <= leader.writer.term:
--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -165,12 +165,12 @@
             group.start_soon(self._heartbeats.run)
             group.start_soon(self._tables.run)
             group.start_soon(self._election.run)
-            group.start_soon(self._tidy)
+            group.start_soon(self._purge_periodically)
 
-    async def _tidy(self) -> None:
+    async def _purge_periodically(self) -> None:
         while True:
             await self._clock.sleep(self._config.timing.purge_interval)
-            self._executions.tidy()
+            self._executions.purge()
 
     async def drain(self) -> int:
         """Stop accepting, finish what runs, and return how many jobs are left.
--- a/src/brasstray/entry/executions.py
+++ b/src/brasstray/entry/executions.py
@@ -13,7 +13,7 @@
     from brasstray.dispatch.timing import DispatchTiming
     from brasstray.job.job_id import JobId
 
-_LONG_AGO = datetime(2000, 1, 1, tzinfo=UTC)
+_EARLIEST = datetime(2000, 1, 1, tzinfo=UTC)
 
 
 class Executions:
@@ -28,7 +28,7 @@
         self._clock = clock
         self._timing = timing
         self._runs: dict[JobId, JobRun] = {}
-        self._horizon = _LONG_AGO
+        self._horizon = _EARLIEST
 
     @property
     def runs(self) -> list[JobRun]:
@@ -45,7 +45,7 @@
         """Return the run of `job`, if it is remembered."""
         return self._runs.get(job)
 
-    def forgot(self, expires: datetime) -> bool:
+    def may_have_forgotten(self, expires: datetime) -> bool:
         """Tell whether a key that expires then may have been forgotten."""
         return expires <= self._horizon
 
@@ -53,9 +53,9 @@
         """Remember `run` from now on."""
         self._runs[run.job] = run
 
-    def tidy(self) -> None:
+    def purge(self) -> None:
         """Forget jobs with expired keys, and the results held long enough."""
-        now, tick = self._clock.now(), self._clock.monotonic()
+        now, monotonic_now = self._clock.now(), self._clock.monotonic()
         # The horizon only goes up, so a clock set back can't revive a forgotten key.
         self._horizon = max(self._horizon, now)
         for job, run in list(self._runs.items()):
@@ -63,7 +63,7 @@
                 continue
             if run.expires <= self._horizon:
                 del self._runs[job]
-            elif tick - run.answered_at > self._timing.answer_hold:
+            elif monotonic_now - run.answered_at > self._timing.answer_hold:
                 run.drop_results()
 
 
--- a/src/brasstray/entry/forwarder.py
+++ b/src/brasstray/entry/forwarder.py
@@ -104,9 +104,9 @@
         timing = self._config.timing
         while True:
             await self._clock.sleep(timing.retry_after / 2)
-            silence = self._membership.silent_for(executor)
+            silence = self._membership.incarnation_silence(executor)
             suspected = silence > self._membership.suspect_after
-            if not suspected and not self._membership.replaced(executor):
+            if not suspected and not self._membership.is_replaced(executor):
                 continue
             try:
                 reply = await self._journal.ask(
--- a/src/brasstray/entry/heartbeats.py
+++ b/src/brasstray/entry/heartbeats.py
@@ -47,7 +47,7 @@
         self._peers = dependencies.peers
         self._host_list = dependencies.host_list
         self._clock = dependencies.clock
-        self._beating: dict[HostName, anyio.CancelScope] = {}
+        self._peer_scopes: dict[HostName, anyio.CancelScope] = {}
         self._draining = False
         self._holdings: dict[IncarnationId, dict[str, int]] = {}
         self._holdings_at = timedelta(0)
@@ -56,7 +56,7 @@
         """Tell peers from now on that this host leaves."""
         self._draining = True
 
-    def own(self, receiver: IncarnationId | None) -> Heartbeat:
+    def build(self, receiver: IncarnationId | None) -> Heartbeat:
         """Return this host's heartbeat for `receiver`, if it is known who that is.
 
         It holds the credits that the receiver counts, and only those, so that it does
@@ -85,23 +85,25 @@
         """Follow the list and beat to every listed peer."""
         async with anyio.create_task_group() as group:
             while True:
-                for host in await self._read_list():
-                    if host not in self._beating:
-                        self._beating[host] = anyio.CancelScope()
-                        group.start_soon(self._beat, host, self._beating[host])
+                for host in await self._refresh_hosts():
+                    if host not in self._peer_scopes:
+                        self._peer_scopes[host] = anyio.CancelScope()
+                        group.start_soon(
+                            self._send_heartbeats, host, self._peer_scopes[host]
+                        )
                 await self._clock.sleep(self._config.timing.list_interval)
 
-    async def _read_list(self) -> list[HostName]:
+    async def _refresh_hosts(self) -> list[HostName]:
         try:
             hosts = await self._host_list.hosts()
         except StoreError:
             return []
         entries = {h.name: h for h in hosts if h.kind is HostKind.ENTRY}
-        self._membership.update_list(entries)  # type: ignore[arg-type]
+        self._membership.update_hosts(entries)  # type: ignore[arg-type]
         self._pool.update(self._local_minions(hosts))
         listed = self._membership.listed_in(self._config.data_centre)
-        for gone in [host for host in self._beating if host not in listed]:
-            self._beating.pop(gone).cancel()
+        for host_name in [host for host in self._peer_scopes if host not in listed]:
+            self._peer_scopes.pop(host_name).cancel()
         return listed
 
     def _local_minions(self, hosts: list[ListedHost]) -> list[ListedHost]:
@@ -109,36 +111,36 @@
         minions = (h for h in hosts if h.kind is HostKind.MINION)
         return [minion for minion in minions if minion.data_centre == here]
 
-    async def _beat(self, host: HostName, scope: anyio.CancelScope) -> None:
+    async def _send_heartbeats(self, host: HostName, scope: anyio.CancelScope) -> None:
         timing = self._config.timing
         with scope:
             while True:
-                if self._is_caller(host):
-                    await self._beat_once(host, timing.peer_timeout)
+                if self._is_initiator(host):
+                    await self._send_heartbeat(host, timing.peer_timeout)
                 await self._clock.sleep(self._membership.heartbeat_interval)
 
-    def _is_caller(self, host: HostName) -> bool:
+    def _is_initiator(self, host: HostName) -> bool:
         # One of two hosts calls and the reply tells of the other, which halves the
         # messages. The other calls too when it has not heard the first for a while:
         # their lists may differ.
         if host > self._config.host:
             return True
         limit = 2 * self._membership.heartbeat_interval
-        return self._membership.silence_of(host) > limit
+        return self._membership.host_silence(host) > limit
 
-    async def _beat_once(self, host: HostName, timeout: timedelta) -> None:
+    async def _send_heartbeat(self, host: HostName, timeout: timedelta) -> None:
         receiver = self._membership.incarnation_on(host)
         try:
-            reply = await self._peers.call(host, None, self.own(receiver), timeout)
+            reply = await self._peers.call(host, None, self.build(receiver), timeout)
         except PeerError:
             return
         if isinstance(reply, Heartbeat):
-            self.hear(reply)
+            self.receive(reply)
 
-    def hear(self, heartbeat: Heartbeat) -> None:
+    def receive(self, heartbeat: Heartbeat) -> None:
         """Take note of a peer's heartbeat, or of its reply to one."""
         if data_centre_of(heartbeat.sender) == self._config.data_centre:
-            self._membership.hear(heartbeat)
+            self._membership.record_heartbeat(heartbeat)
             self._pool.record_peer_ejections(heartbeat.ejected)
 
 
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -112,7 +112,7 @@
     def _check(
         self, job: JobId, expires: datetime, request: JobRequest
     ) -> Answer | None:
-        if self._executions.forgot(expires):
+        if self._executions.may_have_forgotten(expires):
             return may_have_run(job.key, Reason.KEY_EXPIRED, len(request.tasks))
         if self._draining:
             return refused(job.key, Reason.DRAINING, "ask another entry host")
--- a/src/brasstray/entry/journal_service.py
+++ b/src/brasstray/entry/journal_service.py
@@ -57,7 +57,7 @@
                 case Bind():
                     return await self._bind(leader, message)
                 case RecordAnswer():
-                    return await self._record(leader, message)
+                    return await self._record_answer(leader, message)
                 case LookUp():
                     return await self._look_up(leader, message)
         except CommitUnavailableError:
@@ -76,7 +76,9 @@
         fenced = leader.is_fenced(bound.executor)
         return JournalReply(bound=bound, answered=answered, fenced=fenced)
 
-    async def _record(self, leader: Leader, message: RecordAnswer) -> JournalReply:
+    async def _record_answer(
+        self, leader: Leader, message: RecordAnswer
+    ) -> JournalReply:
         wanted = message.wanted
         answered = await leader.answer(wanted)
         return JournalReply(
@@ -88,7 +90,11 @@
     async def _look_up(self, leader: Leader, message: LookUp) -> JournalReply:
         bound, _ = await leader.look_up(message.job)
         executor = message.executor or (bound.executor if bound else None)
-        if message.suspect and executor is not None and self._is_gone(executor):
+        if (
+            message.suspect
+            and executor is not None
+            and self._is_presumed_dead(executor)
+        ):
             await leader.fence(executor)
         bound, answered = await leader.look_up(message.job)
         return JournalReply(
@@ -99,13 +105,16 @@
             forgotten=leader.is_forgotten(message.expires),
         )
 
-    def _is_gone(self, executor: IncarnationId) -> bool:
+    def _is_presumed_dead(self, executor: IncarnationId) -> bool:
         # Wrong suspicion costs the executor its answers, never a second start.
         if executor == self._config.incarnation:
             return False
-        if self._membership.replaced(executor):
+        if self._membership.is_replaced(executor):
             return True
-        return self._membership.silent_for(executor) > self._config.timing.fence_after
+        return (
+            self._membership.incarnation_silence(executor)
+            > self._config.timing.fence_after
+        )
 
 
 __all__ = ["JournalService"]
--- a/src/brasstray/entry/member.py
+++ b/src/brasstray/entry/member.py
@@ -17,10 +17,10 @@
 
     host: HostName
     incarnation: IncarnationId
-    heard: timedelta
+    last_heard: timedelta
     draining: bool = False
     table_version: int = 0
-    held: int = 0
+    held_credits: int = 0
     holdings: dict[str, int] = field(default_factory=dict)
 
 
--- a/src/brasstray/entry/membership.py
+++ b/src/brasstray/entry/membership.py
@@ -17,8 +17,8 @@
     from brasstray.store.listed_host import ListedHost
 
 
-UNCROWDED_PEERS = 4
-BEATS_MISSED = 3
+FULL_RATE_PEERS = 4
+MISSED_HEARTBEATS = 3
 
 
 class Membership:
@@ -35,7 +35,7 @@
         self._members: dict[HostName, Member] = {}
         self._listed: dict[HostName, ListedHost] = {}
         self._term = 0
-        self._noted = self._started
+        self._leader_recorded_at = self._started
         self._leader: IncarnationId | None = None
 
     @property
@@ -51,14 +51,14 @@
     @property
     def heartbeat_interval(self) -> timedelta:
         """Return how often two hosts exchange heartbeats; less often in a crowd."""
-        crowd = len(self.listed_in(self._config.data_centre)) / UNCROWDED_PEERS
-        return self._config.timing.heartbeat * max(1.0, crowd)
+        slowdown = len(self.listed_in(self._config.data_centre)) / FULL_RATE_PEERS
+        return self._config.timing.heartbeat * max(1.0, slowdown)
 
     @property
     def suspect_after(self) -> timedelta:
         """Return after how long a silence a host is taken for gone."""
-        least = self._config.timing.suspect_after
-        return max(least, BEATS_MISSED * self.heartbeat_interval)
+        minimum = self._config.timing.suspect_after
+        return max(minimum, MISSED_HEARTBEATS * self.heartbeat_interval)
 
     def listed_in(self, data_centre: DataCentreName) -> list[HostName]:
         """Return the listed entry hosts of `data_centre` but this one."""
@@ -72,13 +72,13 @@
         """Return the platform's entry for `host`."""
         return self._listed.get(host)
 
-    def update_list(self, listed: dict[HostName, ListedHost]) -> None:
+    def update_hosts(self, listed: dict[HostName, ListedHost]) -> None:
         """Take over the platform's list of entry hosts."""
         self._listed = listed
 
-    def hear(self, heartbeat: Heartbeat) -> None:
+    def record_heartbeat(self, heartbeat: Heartbeat) -> None:
         """Take note of a peer's heartbeat or of its reply to one."""
-        self.note_leader(heartbeat.term, heartbeat.leader)
+        self.record_leader(heartbeat.term, heartbeat.leader)
         host = host_of(heartbeat.sender)
         self._members[host] = Member(
             host,
@@ -90,15 +90,15 @@
             heartbeat.holdings,
         )
 
-    def note_leader(self, term: int, leader: IncarnationId | None) -> None:
+    def record_leader(self, term: int, leader: IncarnationId | None) -> None:
         """Believe the leader of the latest term."""
         if leader is None or term <= self._term:
             return
         if data_centre_of(leader) == self._config.data_centre:
             self._term, self._leader = term, leader
-            self._noted = self._clock.monotonic()
+            self._leader_recorded_at = self._clock.monotonic()
 
-    def forget_leader(self, incarnation: IncarnationId) -> None:
+    def clear_leader(self, incarnation: IncarnationId) -> None:
         """Forget that `incarnation` leads."""
         if self._leader == incarnation:
             self._leader = None
@@ -108,28 +108,28 @@
         limit = self.suspect_after
         return [m for m in self._members.values() if self._silence(m) <= limit]
 
-    def leader_lives(self) -> bool:
+    def is_leader_live(self) -> bool:
         """Tell whether the leader was heard of late, or time to hear it is left."""
         if self._leader == self._config.incarnation:
             return True
         limit = self.suspect_after
-        if self._leader is not None and self.silent_for(self._leader) <= limit:
+        if self._leader is not None and self.incarnation_silence(self._leader) <= limit:
             return True
-        return self._clock.monotonic() - self._noted <= limit
+        return self._clock.monotonic() - self._leader_recorded_at <= limit
 
-    def hears_most(self) -> bool:
+    def hears_half(self) -> bool:
         """Tell whether at least half of the data centre's listed hosts are heard."""
         listed = self.listed_in(self._config.data_centre)
         return 2 * (len(self.live()) + 1) >= len(listed) + 1
 
-    def silent_for(self, incarnation: IncarnationId) -> timedelta:
+    def incarnation_silence(self, incarnation: IncarnationId) -> timedelta:
         """Return for how long `incarnation` was not heard."""
         member = self._members.get(host_of(incarnation))
         if member is None or member.incarnation != incarnation:
             return self._clock.monotonic() - self._started
         return self._silence(member)
 
-    def silence_of(self, host: HostName) -> timedelta:
+    def host_silence(self, host: HostName) -> timedelta:
         """Return for how long no incarnation on `host` was heard."""
         member = self._members.get(host)
         if member is None:
@@ -141,13 +141,13 @@
         member = self._members.get(host)
         return member.incarnation if member is not None else None
 
-    def replaced(self, incarnation: IncarnationId) -> bool:
+    def is_replaced(self, incarnation: IncarnationId) -> bool:
         """Tell whether another incarnation speaks for the host of `incarnation`."""
         member = self._members.get(host_of(incarnation))
         return member is not None and member.incarnation != incarnation
 
     def _silence(self, member: Member) -> timedelta:
-        return self._clock.monotonic() - member.heard
+        return self._clock.monotonic() - member.last_heard
 
 
 __all__ = ["Membership"]
--- a/src/brasstray/entry/peer_handler.py
+++ b/src/brasstray/entry/peer_handler.py
@@ -64,8 +64,8 @@
         """Return the reply to a peer's message."""
         match message:
             case Heartbeat():
-                self._heartbeats.hear(message)
-                return self._heartbeats.own(message.sender)
+                self._heartbeats.receive(message)
+                return self._heartbeats.build(message.sender)
             case AskTable():
                 ready = self._tables.ready
                 return TableReply(table=self._tables.table, ready=ready)
