--- a/src/brasstray/entry/credit_exchange.py
+++ b/src/brasstray/entry/credit_exchange.py
@@ -23,17 +23,17 @@
     from brasstray.job.ids import IncarnationId, ServiceName
     from brasstray.peer.peers import Peers
 
-ASKED_PEERS = 3
+MAX_LENDERS = 3
 
 
 @dataclass
-class _Claim:
+class _UnmetRequest:
     """What a peer asked for and did not get: a wish, and what it is owed of it."""
 
     service: ServiceName
-    wanted: int
+    remaining: int
     owed: int
-    asked_at: timedelta
+    requested_at: timedelta
 
 
 class CreditExchange:
@@ -59,25 +59,25 @@
         self._pool = pool
         self._peers = peers
         self._clock = clock
-        self._claims: dict[IncarnationId, _Claim] = {}
+        self._unmet_requests: dict[IncarnationId, _UnmetRequest] = {}
         self._reserved: dict[IncarnationId, Counter[str]] = {}
-        self._idle = anyio.Event()
+        self._idle_event = anyio.Event()
         pool.set_idle_callback(self._on_idle_credit)
 
     def _on_idle_credit(self, load: MinionLoad) -> None:
-        if not self._claims:
+        if not self._unmet_requests:
             return
-        self._idle.set()
+        self._idle_event.set()
         if self._pool.demand:
             self._reserve(load)
 
     def _reserve(self, load: MinionLoad) -> None:
         # Guards against a claim that is never served: with jobs waiting here, a credit
         # is idle only for this moment.
-        for peer, claim in self._claims.items():
-            if claim.owed > 0 and claim.service in load.services:
+        for peer, request in self._unmet_requests.items():
+            if request.owed > 0 and request.service in load.services:
                 self._pool.drop_credits(load, 1)
-                self._settle(peer, claim, 1)
+                self._deduct(peer, request, 1)
                 self._reserved.setdefault(peer, Counter())[load.listed.name] += 1
                 return
 
@@ -85,22 +85,24 @@
         """Borrow and yield until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._borrow)
-            group.start_soon(self._serve_claims)
+            group.start_soon(self._serve_requests)
 
     async def _borrow(self) -> None:
         while True:
             await self._pool.wait_for_demand()
             async with anyio.create_task_group() as group:
                 for service, count in self._pool.demand.items():
-                    for peer in self._asked_peers():
-                        group.start_soon(self._ask, peer, service, count)
+                    for peer in self._lenders():
+                        group.start_soon(self._request_credits, peer, service, count)
             await self._clock.sleep(self._config.timing.borrow_interval)
 
-    def _asked_peers(self) -> list[IncarnationId]:
+    def _lenders(self) -> list[IncarnationId]:
         live = sorted(self._membership.live(), key=lambda member: -member.held_credits)
-        return [member.incarnation for member in live[:ASKED_PEERS]]
+        return [member.incarnation for member in live[:MAX_LENDERS]]
 
-    async def _ask(self, peer: IncarnationId, service: ServiceName, count: int) -> None:
+    async def _request_credits(
+        self, peer: IncarnationId, service: ServiceName, count: int
+    ) -> None:
         message = BorrowSlots(
             service=service, wanted=count, held=self._pool.held_credits
         )
@@ -114,75 +116,81 @@
 
     def grant(self, peer: IncarnationId, message: BorrowSlots) -> SlotsGranted:
         """Return idle credits for `peer`, and remember what else it wants."""
-        given: dict[str, int] = {}
+        granted: dict[str, int] = {}
         if not self._pool.demand:
-            given = self._pool.yield_credits(message.service, message.wanted)
-        count = sum(given.values())
-        wanted = message.wanted - count
+            granted = self._pool.yield_credits(message.service, message.wanted)
+        count = sum(granted.values())
+        remaining = message.wanted - count
         surplus = self._pool.held_credits - (message.held + count)
-        if wanted > 0:
-            self._claims[peer] = _Claim(
+        if remaining > 0:
+            self._unmet_requests[peer] = _UnmetRequest(
                 service=message.service,
-                wanted=wanted,
-                owed=min(wanted, max(0, surplus // 2)),
-                asked_at=self._clock.monotonic(),
+                remaining=remaining,
+                owed=min(remaining, max(0, surplus // 2)),
+                requested_at=self._clock.monotonic(),
             )
         else:
-            self._claims.pop(peer, None)
-        return SlotsGranted(minions=given)
+            self._unmet_requests.pop(peer, None)
+        return SlotsGranted(minions=granted)
 
-    async def _serve_claims(self) -> None:
+    async def _serve_requests(self) -> None:
         while True:
-            await self._idle.wait()
-            self._idle = anyio.Event()
+            await self._idle_event.wait()
+            self._idle_event = anyio.Event()
             # Credits that become idle together go in one message.
             await self._clock.sleep(self._config.timing.grant_delay)
             async with anyio.create_task_group() as group:
                 reserved, self._reserved = self._reserved, {}
                 for peer, minions in reserved.items():
-                    group.start_soon(self._grant, peer, dict(minions))
-                for peer, claim in self._due():
-                    given = self._pool.yield_credits(claim.service, claim.owed)
-                    if given:
-                        self._settle(peer, claim, sum(given.values()))
-                        group.start_soon(self._grant, peer, given)
-
-    def _due(self) -> list[tuple[IncarnationId, _Claim]]:
+                    group.start_soon(self._send_grant, peer, dict(minions))
+                for peer, request in self._due_requests():
+                    granted = self._pool.yield_credits(request.service, request.owed)
+                    if granted:
+                        self._deduct(peer, request, sum(granted.values()))
+                        group.start_soon(self._send_grant, peer, granted)
+
+    def _due_requests(self) -> list[tuple[IncarnationId, _UnmetRequest]]:
         now = self._clock.monotonic()
         limit = 2 * self._config.timing.borrow_interval
-        for peer in [p for p, d in self._claims.items() if now - d.asked_at > limit]:
-            del self._claims[peer]
+        for peer in [
+            p for p, r in self._unmet_requests.items() if now - r.requested_at > limit
+        ]:
+            del self._unmet_requests[peer]
         if not self._pool.demand:
-            for claim in self._claims.values():
-                claim.owed = claim.wanted
-        due = [(peer, claim) for peer, claim in self._claims.items() if claim.owed > 0]
-        return sorted(due, key=lambda item: item[1].owed)
-
-    def _settle(self, peer: IncarnationId, claim: _Claim, count: int) -> None:
-        claim.owed -= count
-        claim.wanted -= count
-        if claim.wanted <= 0:
-            self._claims.pop(peer, None)
-
-    async def _grant(self, peer: IncarnationId, given: dict[str, int]) -> None:
+            for request in self._unmet_requests.values():
+                request.owed = request.remaining
+        due_requests = [
+            (peer, request)
+            for peer, request in self._unmet_requests.items()
+            if request.owed > 0
+        ]
+        return sorted(due_requests, key=lambda item: item[1].owed)
+
+    def _deduct(self, peer: IncarnationId, request: _UnmetRequest, count: int) -> None:
+        request.owed -= count
+        request.remaining -= count
+        if request.remaining <= 0:
+            self._unmet_requests.pop(peer, None)
+
+    async def _send_grant(self, peer: IncarnationId, granted: dict[str, int]) -> None:
         timeout = self._config.timing.peer_timeout
         try:
             await self._peers.call(
-                host_of(peer), peer, GrantSlots(minions=given), timeout
+                host_of(peer), peer, GrantSlots(minions=granted), timeout
             )
         except PeerError:
             return
 
-    async def give_all_away(self) -> None:
+    async def hand_over_credits(self) -> None:
         """Leave idle credits to a peer; to be called while draining."""
         live = [member for member in self._membership.live() if not member.draining]
         services: Counter[ServiceName] = Counter()
         for load in self._pool.loads:
             services.update(load.services)
         for service in services if live else ():
-            given = self._pool.yield_credits(service, self._pool.held_credits)
-            if given:
-                await self._grant(live[0].incarnation, given)
+            granted = self._pool.yield_credits(service, self._pool.held_credits)
+            if granted:
+                await self._send_grant(live[0].incarnation, granted)
 
 
 __all__ = ["CreditExchange"]
--- a/src/brasstray/entry/credit_reconciler.py
+++ b/src/brasstray/entry/credit_reconciler.py
@@ -16,7 +16,7 @@
 
 # Heartbeats are up to half a second old, so a credit that moved in that time is in
 # both counts or in neither. Only what is wrong in every round for so long is mended.
-ROUNDS = 4
+CONFIRMING_ROUNDS = 4
 
 
 class CreditReconciler:
@@ -38,19 +38,19 @@
         self._membership = membership
         self._pool = pool
         self._clock = clock
-        self._missing: dict[str, deque[int]] = {}
+        self._shortfalls: dict[str, deque[int]] = {}
         self._peers: list[IncarnationId] = []
-        self._homes: dict[str, IncarnationId | None] = {}
+        self._assigned_peers: dict[str, IncarnationId | None] = {}
 
     async def run(self) -> None:
         """Count and mint until cancelled."""
         # Peers are heard first: their credits would otherwise be minted twice.
         await self._clock.sleep(self._config.timing.suspect_after)
         while True:
-            self._count()
+            self._reconcile()
             await self._clock.sleep(self._config.timing.reconcile_interval)
 
-    def _count(self) -> None:
+    def _reconcile(self) -> None:
         elsewhere: Counter[str] = Counter()
         live = self._membership.live()
         for member in live:
@@ -58,50 +58,58 @@
         names = [m.incarnation for m in live if not m.draining]
         for load in self._pool.loads:
             minion = load.listed.name
-            if not load.staying or self.home(minion, names) is not None:
-                self._missing.pop(minion, None)
+            if not load.staying or self.assigned_peer(minion, names) is not None:
+                self._shortfalls.pop(minion, None)
                 continue
-            self._mint(load, load.listed.slots - load.credits - elsewhere[minion])
+            self._correct(load, load.listed.slots - load.credits - elsewhere[minion])
 
-    def _mint(self, load: MinionLoad, missing: int) -> None:
+    def _correct(self, load: MinionLoad, shortfall: int) -> None:
         name = load.listed.name
-        first = name not in self._missing
-        rounds = self._missing.setdefault(name, deque(maxlen=ROUNDS))
-        rounds.append(missing)
-        if first and missing == load.listed.slots:
+        first_round = name not in self._shortfalls
+        recent = self._shortfalls.setdefault(name, deque(maxlen=CONFIRMING_ROUNDS))
+        recent.append(shortfall)
+        if first_round and shortfall == load.listed.slots:
             # Nobody has a credit of this minion: it or the data centre is new.
-            self._pool.add_credits({name: missing})
-            rounds.clear()
-        elif len(rounds) == ROUNDS and min(rounds) > 0:
-            self._pool.add_credits({name: min(rounds)})
-            rounds.clear()
-        elif len(rounds) == ROUNDS and max(rounds) < 0:
-            self._pool.drop_credits(load, -max(rounds))
-            rounds.clear()
-
-    def home(self, minion: str, peers: list[IncarnationId]) -> IncarnationId | None:
+            self._pool.add_credits({name: shortfall})
+            recent.clear()
+        elif len(recent) == CONFIRMING_ROUNDS and min(recent) > 0:
+            self._pool.add_credits({name: min(recent)})
+            recent.clear()
+        elif len(recent) == CONFIRMING_ROUNDS and max(recent) < 0:
+            self._pool.drop_credits(load, -max(recent))
+            recent.clear()
+
+    def assigned_peer(
+        self, minion: str, peers: list[IncarnationId]
+    ) -> IncarnationId | None:
         """Return which of `peers` is home to `minion`, or None if this host is."""
         if peers != self._peers:
-            self._peers, self._homes = list(peers), {}
-        if minion not in self._homes:
-            own = _weight(self._config.incarnation, minion)
-            best = max(peers, key=lambda name: _weight(name, minion), default=None)
-            ours = best is None or _weight(best, minion) <= own
-            self._homes[minion] = None if ours else best
-        return self._homes[minion]
-
-    def holdings_by_home(self) -> dict[IncarnationId, dict[str, int]]:
+            self._peers, self._assigned_peers = list(peers), {}
+        if minion not in self._assigned_peers:
+            own_score = _rendezvous_score(self._config.incarnation, minion)
+            best_peer = max(
+                peers, key=lambda name: _rendezvous_score(name, minion), default=None
+            )
+            assigned_here = (
+                best_peer is None or _rendezvous_score(best_peer, minion) <= own_score
+            )
+            self._assigned_peers[minion] = None if assigned_here else best_peer
+        return self._assigned_peers[minion]
+
+    def holdings_by_peer(self) -> dict[IncarnationId, dict[str, int]]:
         """Return this host's credits, by the peer that counts them."""
         live = [m.incarnation for m in self._membership.live() if not m.draining]
         holdings: dict[IncarnationId, dict[str, int]] = {}
         for load in self._pool.loads:
-            home = self.home(load.listed.name, live) if load.credits else None
-            if home is not None:
-                holdings.setdefault(home, {})[load.listed.name] = load.credits
+            assigned_peer = (
+                self.assigned_peer(load.listed.name, live) if load.credits else None
+            )
+            if assigned_peer is not None:
+                holdings.setdefault(assigned_peer, {})[load.listed.name] = load.credits
         return holdings
 
 
-def _weight(host: str, minion: str) -> bytes:
+def _rendezvous_score(host: str, minion: str) -> bytes:
     return hashlib.blake2b(f"{host}/{minion}".encode(), digest_size=8).digest()
 
 
--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -158,7 +158,7 @@
     async def run(self) -> None:
         """Serve until cancelled."""
         async with anyio.create_task_group() as group:
-            self._runner.open(group)
+            self._runner.use_task_group(group)
             if isinstance(self._config.slots, SlotCredits):
                 group.start_soon(self._exchange.run)
                 group.start_soon(self._reconciler.run)
@@ -185,7 +185,7 @@
         while self._executions.unanswered and self._clock.monotonic() < deadline:
             log_message("brasstray:draining", jobs=self._executions.unanswered)
             await self._clock.sleep(self._config.timing.heartbeat)
-        await self._exchange.give_all_away()
+        await self._exchange.hand_over_credits()
         await self._election.withdraw()
         return self._executions.unanswered
 
--- a/src/brasstray/entry/forwarder.py
+++ b/src/brasstray/entry/forwarder.py
@@ -28,7 +28,7 @@
     from brasstray.job.key import Key
     from brasstray.peer.messages import JournalReply
 
-    Question = Submit | Fetch | Cancel
+    JobMessage = Submit | Fetch | Cancel
 
 MAX_HOPS = 3
 
@@ -54,40 +54,44 @@
         self,
         key: Key,
         executor: IncarnationId,
-        question: Question,
+        message: JobMessage,
         wait: timedelta,
         task_count: int,
     ) -> Answer:
         """Return the executor's answer, or what the journal says once it is fenced."""
-        job = question.job
-        found: list[Answer] = []
+        job = message.job
+        answers: list[Answer] = []
         async with anyio.create_task_group() as group:
             group.start_soon(
-                self._await_fence, job, key, executor, task_count, found, group
+                self._await_fence, job, key, executor, task_count, answers, group
             )
-            await self._call_until(executor, question, wait, found)
+            await self._call_executor(executor, message, wait, answers)
             group.cancel_scope.cancel()
-        return found[0] if found else self._later(job, Reason.EXECUTOR_UNREACHABLE)
+        return (
+            answers[0]
+            if answers
+            else self._not_yet_known(job, Reason.EXECUTOR_UNREACHABLE)
+        )
 
-    async def _call_until(
+    async def _call_executor(
         self,
         executor: IncarnationId,
-        question: Question,
+        message: JobMessage,
         wait: timedelta,
-        found: list[Answer],
+        answers: list[Answer],
     ) -> None:
         # Guards against calling "not run" what may run: when the reply is lost, the
         # executor may have had the message, and only it knows. Its key makes asking
         # again harmless.
         deadline = self._clock.monotonic() + wait
         while True:
-            left = max(deadline - self._clock.monotonic(), timedelta(0))
+            time_left = max(deadline - self._clock.monotonic(), timedelta(0))
             try:
                 host = host_of(executor)
-                found.append(await self._call(host, executor, question, left))
+                answers.append(await self._call(host, executor, message, time_left))
                 return
             except PeerError:
-                if left <= self._config.timing.retry_after:
+                if time_left <= self._config.timing.retry_after:
                     return
             await self._clock.sleep(self._config.timing.retry_after)
 
@@ -97,7 +101,7 @@
         key: Key,
         executor: IncarnationId,
         task_count: int,
-        found: list[Answer],
+        answers: list[Answer],
         group: TaskGroup,
     ) -> None:
         """Find the answer to a job whose executor is silent or replaced."""
@@ -109,7 +113,7 @@
             if not suspected and not self._membership.is_replaced(executor):
                 continue
             try:
-                reply = await self._journal.ask(
+                reply = await self._journal.request(
                     LookUp(
                         job=job, expires=key.expires, executor=executor, suspect=True
                     )
@@ -117,7 +121,7 @@
             except JournalUnreachableError:
                 continue
             if reply.fenced:
-                found.append(self.fenced_answer(job, reply, task_count))
+                answers.append(self.fenced_answer(job, reply, task_count))
                 group.cancel_scope.cancel()
                 return
 
@@ -134,51 +138,51 @@
         # Guards against contradicting an answer that was committed by replicas which
         # are lost: until the key expires nothing final is said.
         if reply.in_doubt:
-            return self._later(job, Reason.JOURNAL_IN_DOUBT)
+            return self._not_yet_known(job, Reason.JOURNAL_IN_DOUBT)
         return may_have_run(job.key, Reason.EXECUTOR_FENCED, task_count)
 
-    async def to_home(self, key: Key, question: Question, wait: timedelta) -> Answer:
+    async def to_home(self, key: Key, message: JobMessage, wait: timedelta) -> Answer:
         """Return the answer of a host in the key's home data centre."""
         hosts = self._membership.listed_in(home_of(key))
         self._random.shuffle(hosts)
         if isinstance(key, MintedKey) and host_of(key.executor) in hosts:
             hosts.remove(host_of(key.executor))
             hosts.insert(0, host_of(key.executor))
-        return await self._to_first(hosts, question, wait)
+        return await self._forward_to_first(hosts, message, wait)
 
-    async def to_another(self, question: Question, wait: timedelta) -> Answer:
+    async def to_another(self, message: JobMessage, wait: timedelta) -> Answer:
         """Return the answer of another host of this data centre."""
         live = [m.host for m in self._membership.live() if not m.draining]
         self._random.shuffle(live)
-        return await self._to_first(live, question, wait)
+        return await self._forward_to_first(live, message, wait)
 
-    async def _to_first(
-        self, hosts: list[HostName], question: Question, wait: timedelta
+    async def _forward_to_first(
+        self, hosts: list[HostName], message: JobMessage, wait: timedelta
     ) -> Answer:
-        if question.hops <= MAX_HOPS:
+        if message.hops <= MAX_HOPS:
             for host in hosts:
                 try:
-                    return await self._call(host, None, question, wait)
+                    return await self._call(host, None, message, wait)
                 except PeerNotReachedError:
                     continue
                 except PeerError:
                     break
-        return self._later(question.job, Reason.HOME_UNREACHABLE)
+        return self._not_yet_known(message.job, Reason.HOME_UNREACHABLE)
 
     async def _call(
         self,
         host: HostName,
         receiver: IncarnationId | None,
-        question: Question,
+        message: JobMessage,
         wait: timedelta,
     ) -> Answer:
         timeout = wait + self._config.timing.forward_margin
-        reply = await self._peers.call(host, receiver, question, timeout)
+        reply = await self._peers.call(host, receiver, message, timeout)
         if isinstance(reply, AnswerReply):
             return reply.answer
         raise PeerError(f"{host} gave another reply than an answer")
 
-    def _later(self, job: JobId, reason: Reason) -> Answer:
+    def _not_yet_known(self, job: JobId, reason: Reason) -> Answer:
         return not_yet_known(job.key, reason, self._config.timing.retry_after_ms)
 
 
--- a/src/brasstray/entry/heartbeats.py
+++ b/src/brasstray/entry/heartbeats.py
@@ -78,7 +78,7 @@
         now = self._clock.monotonic()
         if now != self._holdings_at:
             self._holdings_at = now
-            self._holdings = self._reconciler.holdings_by_home()
+            self._holdings = self._reconciler.holdings_by_peer()
         return self._holdings.get(receiver, {})
 
     async def run(self) -> None:
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -57,7 +57,7 @@
         """Tell whether no more jobs are accepted."""
         return self._draining
 
-    def open(self, group: TaskGroup) -> None:
+    def use_task_group(self, group: TaskGroup) -> None:
         """Run jobs in `group` from now on."""
         self._context = DispatchContext(
             group,
@@ -84,20 +84,20 @@
         expires: datetime,
         request: JobRequest,
         wait: timedelta,
-        objection: Answer | None,
+        table_rejection: Answer | None,
     ) -> Answer:
         """Return the answer to a job that only this incarnation may run.
 
-        `objection` is the refusal that the table asks for if the job is new.
+        `table_rejection` is the refusal that the table asks for if the job is new.
         """
         run = self._executions.get(job)
         if run is None:
-            problem = self._check(job, expires, request) or objection
-            if problem is not None:
-                return problem
+            rejection = self._check_admission(job, expires, request) or table_rejection
+            if rejection is not None:
+                return rejection
             run = self._accept(job, expires, request)
         elif run.digest != request.digest:
-            return conflict(job)
+            return key_conflict(job)
         return await self.wait_for(run, wait)
 
     async def wait_for(self, run: JobRun, wait: timedelta) -> Answer:
@@ -109,7 +109,7 @@
             run.job.key, Reason.RUNNING, self._config.timing.retry_after_ms
         )
 
-    def _check(
+    def _check_admission(
         self, job: JobId, expires: datetime, request: JobRequest
     ) -> Answer | None:
         if self._executions.may_have_forgotten(expires):
@@ -119,8 +119,8 @@
         if self._executions.unanswered >= self._config.max_jobs:
             detail = f"{self._config.max_jobs} jobs run here"
             answer = refused(job.key, Reason.OVERLOADED, detail)
-            again = self._config.timing.retry_after_ms
-            return answer.model_copy(update={"retry_after_ms": again})
+            retry_after_ms = self._config.timing.retry_after_ms
+            return answer.model_copy(update={"retry_after_ms": retry_after_ms})
         return None
 
     def _accept(self, job: JobId, expires: datetime, request: JobRequest) -> JobRun:
@@ -155,7 +155,7 @@
         )
         while True:
             try:
-                reply = await self._journal.ask(message)
+                reply = await self._journal.request(message)
             except JournalUnreachableError:
                 continue
             if reply.answered is not None:
@@ -172,10 +172,10 @@
             )
 
 
-def conflict(job: JobId) -> Answer:
+def key_conflict(job: JobId) -> Answer:
     """Return the answer to a key that was used with other content."""
     detail = "the key was used with other content; this content was not run"
     return refused(job.key, Reason.KEY_CONFLICT, detail)
 
 
-__all__ = ["JobRunner", "conflict"]
+__all__ = ["JobRunner", "key_conflict"]
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -8,7 +8,7 @@
 from result import Err, Ok
 
 from brasstray.entry.errors import JournalUnreachableError
-from brasstray.entry.job_runner import conflict
+from brasstray.entry.job_runner import key_conflict
 from brasstray.job.answer import Answer, may_have_run, not_yet_known, refused
 from brasstray.job.job_id import JobId
 from brasstray.job.key import (
@@ -80,10 +80,10 @@
     ) -> Answer:
         """Return the answer to `request`, or what can be said of it within `wait`."""
         if not self._tables.ready:
-            return self._later(None, Reason.STARTING)
-        problem = self._check_request(request)
-        if problem is not None:
-            return problem
+            return self._not_yet_known(None, Reason.STARTING)
+        rejection = self._check_request(request)
+        if rejection is not None:
+            return rejection
         if key_text is None:
             if not request.repeatable:
                 detail = f"a job that may not be repeated needs a key: {KEY_HELP}"
@@ -91,9 +91,9 @@
             key_text = self.mint().text()
         match parse_key(key_text):
             case Ok(key):
-                problem = self._check_key(key, request)
-                if problem is not None:
-                    return problem
+                rejection = self._check_key(key, request)
+                if rejection is not None:
+                    return rejection
                 submit = Submit(
                     job=JobId(caller=caller, key=key.text()),
                     request=request,
@@ -109,12 +109,12 @@
         if service is None:
             known = ", ".join(sorted(self._config.services))
             return refused(None, Reason.UNKNOWN_SERVICE, f"services are: {known}")
-        if request.repeatable and not self._row(request).repeatable:
+        if request.repeatable and not self._table_row(request).repeatable:
             detail = f"jobs of {service.name} may not be marked repeatable"
             return refused(None, Reason.BAD_REQUEST, detail)
         return None
 
-    def _row(self, request: JobRequest) -> TableRow:
+    def _table_row(self, request: JobRequest) -> TableRow:
         row = self._tables.table.row(request.service, request.period)
         if row is not None:
             return row
@@ -122,13 +122,13 @@
         return TableRow(service=service.name, repeatable=service.repeatable)
 
     def _check_key(self, key: Key, request: JobRequest) -> Answer | None:
-        left = key.expires - self._clock.now()
-        if left <= timedelta(0):
+        time_left = key.expires - self._clock.now()
+        if time_left <= timedelta(0):
             # Nothing is remembered of an expired key, so it may have run before.
             return may_have_run(key.text(), Reason.KEY_EXPIRED, len(request.tasks))
-        most = self._config.timing.journal.key_lifetime
-        if left > most:
-            detail = f"a key may expire at most {most} from now"
+        max_lifetime = self._config.timing.journal.key_lifetime
+        if time_left > max_lifetime:
+            detail = f"a key may expire at most {max_lifetime} from now"
             return refused(key.text(), Reason.KEY_TOO_LONG_LIVED, detail)
         if home_of(key) not in self._config.data_centres:
             known = ", ".join(self._config.data_centres)
@@ -140,27 +140,27 @@
         job, request = submit.job, submit.request
         if home_of(key) != self._config.data_centre:
             return await self._forwarder.to_home(key, submit, wait)
-        problem = _check_row(self._row(request), request)
+        rejection = _check_table_limits(self._table_row(request), request)
         if isinstance(key, MintedKey):
             executor = key.executor
         else:
-            if problem is not None:
+            if rejection is not None:
                 # Guards against "not run" for a job that was accepted before the table
                 # changed: only a key that the journal does not know is refused.
-                known = await self._executor_of(key, job)
-                if isinstance(known, Answer):
-                    unknown = known.reason is Reason.UNKNOWN_KEY
-                    return problem if unknown else known
+                known_executor = await self._executor_of(key, job)
+                if isinstance(known_executor, Answer):
+                    key_is_unknown = known_executor.reason is Reason.UNKNOWN_KEY
+                    return rejection if key_is_unknown else known_executor
             if self._runner.draining and self._runner.find(job) is None:
                 return await self._forwarder.to_another(submit, wait)
             bound = await self._bind(job, key, request)
             if isinstance(bound, Answer):
                 return bound
             if bound.digest != request.digest:
-                return conflict(job)
+                return key_conflict(job)
             executor = bound.executor
         if executor == self._config.incarnation:
-            return await self._runner.submit(job, key.expires, request, wait, problem)
+            return await self._runner.submit(job, key.expires, request, wait, rejection)
         count = len(request.tasks)
         return await self._forwarder.to_executor(key, executor, submit, wait, count)
 
@@ -175,13 +175,13 @@
             expires=key.expires,
         )
         try:
-            reply = await self._journal.ask(Bind(wanted=wanted))
+            reply = await self._journal.request(Bind(wanted=wanted))
         except JournalUnreachableError:
-            return self._later(job.key, Reason.JOURNAL_UNAVAILABLE)
+            return self._not_yet_known(job.key, Reason.JOURNAL_UNAVAILABLE)
         if reply.forgotten:
             return may_have_run(job.key, Reason.KEY_EXPIRED, len(request.tasks))
         if reply.bound is None:
-            return self._later(job.key, Reason.JOURNAL_IN_DOUBT)
+            return self._not_yet_known(job.key, Reason.JOURNAL_IN_DOUBT)
         if reply.bound.digest == wanted.digest and reply.fenced:
             return self._forwarder.fenced_answer(job, reply, len(request.tasks))
         return reply.bound
@@ -208,15 +208,13 @@
             case Err(detail):
                 return refused(None, Reason.BAD_REQUEST, f"key: {detail}")
 
-    async def _find(
-        self, key: Key, question: Fetch | Cancel, wait: timedelta
-    ) -> Answer:
-        job = question.job
+    async def _find(self, key: Key, message: Fetch | Cancel, wait: timedelta) -> Answer:
+        job = message.job
         if home_of(key) != self._config.data_centre:
-            return await self._forwarder.to_home(key, question, wait)
+            return await self._forwarder.to_home(key, message, wait)
         run = self._runner.find(job)
         if run is not None:
-            if isinstance(question, Cancel):
+            if isinstance(message, Cancel):
                 run.cancel()
             return await self._runner.wait_for(run, wait)
         if key.expires <= self._clock.now():
@@ -226,8 +224,8 @@
             return found
         executor, count = found
         if executor == self._config.incarnation:
-            return self._later(job.key, Reason.UNKNOWN_KEY)
-        return await self._forwarder.to_executor(key, executor, question, wait, count)
+            return self._not_yet_known(job.key, Reason.UNKNOWN_KEY)
+        return await self._forwarder.to_executor(key, executor, message, wait, count)
 
     async def _executor_of(
         self, key: Key, job: JobId
@@ -235,29 +233,29 @@
         if isinstance(key, MintedKey):
             return key.executor, 0
         try:
-            reply = await self._journal.ask(LookUp(job=job, expires=key.expires))
+            reply = await self._journal.request(LookUp(job=job, expires=key.expires))
         except JournalUnreachableError:
-            return self._later(job.key, Reason.JOURNAL_UNAVAILABLE)
+            return self._not_yet_known(job.key, Reason.JOURNAL_UNAVAILABLE)
         if reply.forgotten:
             return may_have_run(job.key, Reason.KEY_EXPIRED, 0)
         if reply.bound is not None:
             return reply.bound.executor, reply.bound.task_count
         reason = Reason.JOURNAL_IN_DOUBT if reply.in_doubt else Reason.UNKNOWN_KEY
-        return self._later(job.key, reason)
+        return self._not_yet_known(job.key, reason)
 
-    def _later(self, key: KeyText | None, reason: Reason) -> Answer:
+    def _not_yet_known(self, key: KeyText | None, reason: Reason) -> Answer:
         return not_yet_known(key, reason, self._config.timing.retry_after_ms)
 
 
-def _check_row(row: TableRow, request: JobRequest) -> Answer | None:
-    place = f"{row.service}, {row.period}"
+def _check_table_limits(row: TableRow, request: JobRequest) -> Answer | None:
+    row_name = f"{row.service}, {row.period}"
     if not row.open:
-        return refused(None, Reason.SERVICE_CLOSED, f"{place} is closed")
+        return refused(None, Reason.SERVICE_CLOSED, f"{row_name} is closed")
     if len(request.tasks) > row.max_tasks:
-        detail = f"a job of {place} has at most {row.max_tasks} tasks"
+        detail = f"a job of {row_name} has at most {row.max_tasks} tasks"
         return refused(None, Reason.LIMIT, detail)
     if request.deadline_ms > row.max_deadline_ms:
-        detail = f"a deadline of {place} is at most {row.max_deadline_ms} ms"
+        detail = f"a deadline of {row_name} is at most {row.max_deadline_ms} ms"
         return refused(None, Reason.LIMIT, detail)
     return None
 
--- a/src/brasstray/entry/journal_client.py
+++ b/src/brasstray/entry/journal_client.py
@@ -35,7 +35,7 @@
         self._peers = peers
         self._clock = clock
 
-    async def ask(self, message: Bind | RecordAnswer | LookUp) -> JournalReply:
+    async def request(self, message: Bind | RecordAnswer | LookUp) -> JournalReply:
         """Return the leader's reply.
 
         Raise JournalUnreachableError after the journal patience; the leader may then
@@ -43,13 +43,15 @@
         """
         deadline = self._clock.monotonic() + self._config.timing.journal_timeout
         while self._clock.monotonic() < deadline:
-            reply = await self._ask_once(message)
+            reply = await self._request_once(message)
             if isinstance(reply, JournalReply):
                 return reply
             await self._clock.sleep(self._config.timing.journal_retry_interval)
         raise JournalUnreachableError(f"no leader of {self._config.data_centre}")
 
-    async def _ask_once(self, message: Bind | RecordAnswer | LookUp) -> Message | None:
+    async def _request_once(
+        self, message: Bind | RecordAnswer | LookUp
+    ) -> Message | None:
         if self._journal_service.leader is not None:
             return await self._journal_service.handle(message)
         leader = self._membership.leader
--- a/src/brasstray/entry/peer_handler.py
+++ b/src/brasstray/entry/peer_handler.py
@@ -86,9 +86,9 @@
                 return FenceReply(records=self._replica.fence(message.term))
         return Done()
 
-    async def _answer(self, question: Submit | Fetch | Cancel) -> Answer:
-        caller, key, hops = question.job.caller, question.job.key, question.hops
-        match question:
+    async def _answer(self, message: Submit | Fetch | Cancel) -> Answer:
+        caller, key, hops = message.job.caller, message.job.key, message.hops
+        match message:
             case Submit(request=request, wait_ms=wait_ms):
                 wait = timedelta(milliseconds=wait_ms)
                 return await self._jobs.submit(caller, key, request, wait, hops)
--- a/src/brasstray/entry/table_cache.py
+++ b/src/brasstray/entry/table_cache.py
@@ -72,7 +72,7 @@
         while True:
             if not self._ready or self._journal_service.leader is not None:
                 await self._read_store()
-            await self._ask_peer()
+            await self._fetch_from_newest_peer()
             await self._clock.sleep(self._config.timing.table_interval)
 
     async def _read_store(self) -> None:
@@ -82,15 +82,15 @@
             return
         self.adopt(tables[-1] if tables else self._table)
 
-    async def _ask_peer(self) -> None:
+    async def _fetch_from_newest_peer(self) -> None:
         live = self._membership.live()
-        newest = max(live, key=lambda member: member.table_version, default=None)
-        if newest is None:
+        newest_peer = max(live, key=lambda member: member.table_version, default=None)
+        if newest_peer is None:
             return
-        if newest.table_version > self._table.version or not self._ready:
-            await self._ask(newest.incarnation)
+        if newest_peer.table_version > self._table.version or not self._ready:
+            await self._fetch(newest_peer.incarnation)
 
-    async def _ask(self, peer: IncarnationId) -> None:
+    async def _fetch(self, peer: IncarnationId) -> None:
         timeout = self._config.timing.peer_timeout
         try:
             reply = await self._peers.call(host_of(peer), peer, AskTable(), timeout)
@@ -114,21 +114,23 @@
 
     async def versions(self) -> dict[str, int | None]:
         """Return the version in force on each listed host; None if it is silent."""
-        found: dict[str, int | None] = {self._config.host: self._table.version}
-        for centre in self._config.data_centres:
-            for host in self._membership.listed_in(centre):
+        versions_by_host: dict[str, int | None] = {
+            self._config.host: self._table.version
+        }
+        for data_centre in self._config.data_centres:
+            for host in self._membership.listed_in(data_centre):
                 timeout = self._config.timing.peer_timeout
                 try:
                     reply = await self._peers.call(host, None, AskTable(), timeout)
                 except PeerError:
-                    found[host] = None
+                    versions_by_host[host] = None
                     continue
                 match reply:
                     case TableReply(table=table):
-                        found[host] = table.version
+                        versions_by_host[host] = table.version
                     case _:
-                        found[host] = None
-        return found
+                        versions_by_host[host] = None
+        return versions_by_host
 
 
 __all__ = ["TableCache"]
