--- a/tests/dispatch/test_minion_pool.py
+++ b/tests/dispatch/test_minion_pool.py
@@ -65,8 +65,8 @@
     return pool
 
 
-def on_clock(story):
-    return run_virtual(story)
+def run_scenario(scenario):
+    return run_virtual(scenario)
 
 
 @pytest.mark.parametrize(
@@ -78,36 +78,36 @@
     ],
     ids=str,
 )
-def test_the_order_of_jobs(order, expected):
-    async def story():
+def test_jobs_get_slots_in_policy_order(order, expected):
+    async def scenario():
         pool = pool_of([listed(0, slots=1)], order=order)
-        first = await pool.acquire(Job())
-        turns = []
+        blocker = await pool.acquire(Job())
+        started = []
 
-        async def run(job):
+        async def run_tasks(job):
             while job.unsent:
                 load = await pool.acquire(job)
                 job.unsent -= 1
                 job.unfinished -= 1
-                turns.append(job.sequence_number)
-                group.start_soon(end, load)
+                started.append(job.sequence_number)
+                group.start_soon(finish, load)
 
-        async def end(load):
+        async def finish(load):
             await anyio.sleep(0.01)
             pool.release(load)
 
         async with anyio.create_task_group() as group:
             for number, tasks in ((1, 2), (0, 3), (2, 1)):
-                group.start_soon(run, Job(number, tasks, tasks))
+                group.start_soon(run_tasks, Job(number, tasks, tasks))
                 await anyio.sleep(0.001)
-            pool.release(first)
-        return turns
+            pool.release(blocker)
+        return started
 
-    assert on_clock(story) == expected
+    assert run_scenario(scenario) == expected
 
 
 def test_slots_are_filled_only_with_credits():
-    async def story():
+    async def scenario():
         pool = pool_of([listed(0), listed(1)], SlotCredits())
         with anyio.move_on_after(1) as waited:
             await pool.acquire(Job())
@@ -120,17 +120,17 @@
         assert pool.yield_credits(LEAVE, 9) == {"m1": 1}
         assert pool.held_credits == 0
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
-def test_a_refusal_as_full_takes_the_credit_away():
+def test_a_full_reply_drops_the_credit():
     """Two hosts hold the same credit after a partition.
 
     The second start is refused as full. The credit is dropped, or every later start
     on it would be refused as well.
     """
 
-    async def story():
+    async def scenario():
         pool = pool_of([listed(0)], SlotCredits())
         pool.add_credits({"m0": 2})
         load = await pool.acquire(Job())
@@ -138,11 +138,11 @@
         pool.release(load)
         assert pool.held_credits == 1
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    ("minions", "service", "open_"),
+    ("minions", "service", "eligible"),
     [
         ([listed(0)], LEAVE, {"m0"}),
         ([listed(0), listed(0, service=RERUN)], RERUN, {"m0"}),
@@ -150,53 +150,53 @@
         ([listed(0), listed(1, service=RERUN)], RERUN, {"m1"}),
     ],
 )
-def test_only_minions_that_stay_and_serve_are_chosen(minions, service, open_):
-    async def story():
+def test_only_available_minions_of_the_service_are_chosen(minions, service, eligible):
+    async def scenario():
         pool = pool_of(minions)
         loads = [await pool.acquire(Job(service=service)) for _ in range(2)]
         return {load.listed.name for load in loads}
 
-    assert on_clock(story) == open_
+    assert run_scenario(scenario) == eligible
 
 
-def test_a_minion_that_fails_several_jobs_is_ejected_and_comes_back():
+def test_a_minion_that_fails_several_jobs_is_ejected_and_readmitted():
     """A minion fails everything at once, so its slots are always free.
 
     Unless it is kept away from, it draws most tasks to itself and fails them all.
     After a while it gets one task; if that is done, it is back.
     """
 
-    async def story():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(4)])
-        bad = pool.get("m0")
+        failing = pool.get("m0")
         for number in range(TIMING.eject_after_failures):
-            bad.outstanding += 1
-            pool.record_failure(bad, job_id(number), RetryReason.TASK_FAILED)
-            pool.release(bad)
+            failing.outstanding += 1
+            pool.record_failure(failing, job_id(number), RetryReason.TASK_FAILED)
+            pool.release(failing)
         assert pool.ejected == ["m0"]
         await anyio.sleep(TIMING.min_ejection / timedelta(seconds=1) + 0.1)
-        assert bad.can_start(pool._clock.monotonic())
-        bad.outstanding = 1
-        assert not bad.can_start(pool._clock.monotonic())
-        bad.health.record_success()
-        assert bad.can_start(pool._clock.monotonic())
+        assert failing.can_start(pool._clock.monotonic())
+        failing.outstanding = 1
+        assert not failing.can_start(pool._clock.monotonic())
+        failing.health.record_success()
+        assert failing.can_start(pool._clock.monotonic())
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
 def test_a_minion_that_refuses_connections_is_ejected_at_once():
-    async def story():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(4)])
         load = pool.get("m0")
         load.outstanding += 1
         pool.record_failure(load, job_id(1), RetryReason.CONNECTION_REFUSED)
         assert pool.ejected == ["m0"]
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
-def test_a_job_that_fails_everywhere_ejects_nobody():
-    async def story():
+def test_a_job_that_fails_everywhere_ejects_no_minion():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(4)])
         for load in pool.loads:
             for _ in range(5):
@@ -205,11 +205,11 @@
                 pool.release(load)
         assert pool.ejected == []
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
-def test_at_most_a_part_is_ejected():
-    async def story():
+def test_ejections_are_limited_to_a_share_of_the_minions():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(10)])
         for load in pool.loads:
             for number in range(3):
@@ -218,11 +218,11 @@
                 pool.release(load)
         assert len(pool.ejected) == 3
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
 def test_a_peers_ejection_counts_as_evidence():
-    async def story():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(4)])
         pool.record_peer_ejections(["m0", "unknown"])
         load = pool.get("m0")
@@ -231,4 +231,4 @@
         pool.release(load)
         assert pool.ejected == ["m0"]
 
-    on_clock(story)
+    run_scenario(scenario)
--- a/tests/dispatch/test_retry_budget.py
+++ b/tests/dispatch/test_retry_budget.py
@@ -28,7 +28,7 @@
     assert repeats == pytest.approx(successes * DEPOSIT_PER_SUCCESS, abs=1)
 
 
-def test_what_is_saved_is_bounded():
+def test_the_balance_is_capped():
     budget = RetryBudget()
     for _ in range(100_000):
         budget.deposit()
--- a/tests/entry/test_differential.py
+++ b/tests/entry/test_differential.py
@@ -53,7 +53,7 @@
 )
 
 
-class NaiveDispatcher:
+class ReferenceDispatcher:
     """Run each key once, in one process that never fails."""
 
     def __init__(self):
@@ -71,7 +71,7 @@
     return leave_job(3 + submission.content, 400)
 
 
-def strike(system, fault):
+def inject_fault(system, fault):
     name = system.name(fault.host)
     match fault.kind:
         case "kill" if len(system.hosts) > 2:
@@ -87,14 +87,14 @@
             system.isolate({name})
 
 
-def mend(system):
+def clear_faults(system):
     system.platform.switches.down = False
     system.network.heal()
     system.end()
 
 
-async def play_stream(system, submissions, faults):
-    told = []
+async def run_stream(system, submissions, faults):
+    answers = []
     keys = {job: system.key(f"job-{job}") for job in range(4)}
 
     async def submit(submission):
@@ -107,23 +107,25 @@
             )
         except CallerCutOffError:
             return
-        told.append((submission, answer))
+        answers.append((submission, answer))
 
     async with anyio.create_task_group() as callers:
         for number, submission in enumerate(submissions):
             for fault in faults:
                 if fault.before == number:
-                    strike(system, fault)
+                    inject_fault(system, fault)
             callers.start_soon(submit, submission)
             await anyio.sleep(submission.pause_ms / 1_000)
         await anyio.sleep(15)
-        mend(system)
+        clear_faults(system)
     for submission in submissions:
-        await submit(Submission(submission.job, submission.content, alive(system), 0))
-    return told, keys
+        await submit(
+            Submission(submission.job, submission.content, first_live_host(system), 0)
+        )
+    return answers, keys
 
 
-def alive(system):
+def first_live_host(system):
     return next(n for n in range(HOSTS) if system.name(n) in system.hosts)
 
 
@@ -135,28 +137,28 @@
     suppress_health_check=list(HealthCheck),
 )
 @given(SUBMISSIONS)
-def test_without_faults_the_answers_are_the_naive_ones(play, submissions):
-    async def story(system):
-        told, keys = await play_stream(system, submissions, ())
-        return told, {k: system.starts_of(text) for k, text in keys.items()}
+def test_without_faults_answers_match_the_reference(play, submissions):
+    async def scenario(system):
+        answers, keys = await run_stream(system, submissions, ())
+        return answers, {k: system.starts_of(text) for k, text in keys.items()}
 
-    told, starts = play(story, SystemSize(hosts_each=HOSTS))
-    naive = NaiveDispatcher()
+    answers, starts = play(scenario, SystemSize(hosts_each=HOSTS))
+    reference = ReferenceDispatcher()
     first = {}
     for submission in submissions:
         first.setdefault(submission.job, submission.content)
-        naive.submit(submission.job, request_of(submission))
+        reference.submit(submission.job, request_of(submission))
     contents = {}
-    for submission, answer in told:
+    for submission, answer in answers:
         if answer.outcome is Outcome.COMPLETE:
             contents.setdefault(submission.job, submission.content)
-    for submission, answer in told:
+    for submission, answer in answers:
         same = contents[submission.job] == submission.content
         assert answer.outcome is (Outcome.COMPLETE if same else Outcome.REFUSED)
         assert same or answer.reason is Reason.KEY_CONFLICT
     for job, content in contents.items():
         assert list(starts[job].values()) == [1] * (3 + content)
-    assert set(contents) == set(naive.starts)
+    assert set(contents) == set(reference.starts)
 
 
 @settings(
@@ -167,15 +169,15 @@
     suppress_health_check=list(HealthCheck),
 )
 @given(SUBMISSIONS, FAULT_LISTS)
-def test_under_faults_nothing_starts_twice_and_answers_agree(play, submissions, faults):
-    async def story(system):
-        told, keys = await play_stream(system, submissions, faults)
-        return told, {k: system.starts_of(text) for k, text in keys.items()}
+def test_under_faults_no_task_starts_twice_and_answers_agree(play, submissions, faults):
+    async def scenario(system):
+        answers, keys = await run_stream(system, submissions, faults)
+        return answers, {k: system.starts_of(text) for k, text in keys.items()}
 
-    told, starts = play(story, SystemSize(hosts_each=HOSTS))
+    answers, starts = play(scenario, SystemSize(hosts_each=HOSTS))
     assert all(n == 1 for counts in starts.values() for n in counts.values())
     verdicts = {}
-    for submission, answer in told:
+    for submission, answer in answers:
         if not answer.outcome.final:
             continue
         verdict = verdicts.setdefault(submission.job, answer.verdict)
--- a/tests/entry/test_limits.py
+++ b/tests/entry/test_limits.py
@@ -13,7 +13,7 @@
 from brasstray_standins.memory_system import leave_job
 
 
-def truth(answer, starts, key):
+def misreported_tasks(answer, starts, key):
     """Return the tasks of which the answer says something untrue."""
     counts = {
         int(task.rsplit("/", 1)[1]): n for task, n in starts.items() if key in task
@@ -30,7 +30,7 @@
     ("tasks", "run_ms", "deadline_ms", "done", "not_run"),
     [(10, 100, 5_000, 10, 0), (100, 1_000, 2_500, 64, 4), (5, 60_000, 1_000, 0, 0)],
 )
-def test_a_deadline_ends_a_job_with_the_truth(
+def test_a_deadline_ends_a_job_and_reports_each_task_correctly(
     play, tasks, run_ms, deadline_ms, done, not_run
 ):
     """A job cannot be done by its deadline.
@@ -39,30 +39,30 @@
     and what may have run. Cause: more work than slots, or a task that is too long.
     """
 
-    async def story(system):
+    async def scenario(system):
         key = system.key("a")
-        begun = anyio.current_time()
+        started_at = anyio.current_time()
         request = leave_job(tasks, run_ms, deadline_ms=deadline_ms)
         answer = await system.submit(system.bystander(), key, request)
-        return answer, anyio.current_time() - begun, system.starts_of(key), key
+        return answer, anyio.current_time() - started_at, system.starts_of(key), key
 
-    answer, took, starts, key = play(story)
+    answer, elapsed, starts, key = play(scenario)
     states = [task.state.value for task in answer.tasks]
-    assert truth(answer, starts, key) == []
+    assert misreported_tasks(answer, starts, key) == []
     assert states.count("done") == done
     assert states.count("not run") == not_run
     assert (answer.reason is Reason.DEADLINE) == (done < tasks)
-    assert took < deadline_ms / 1_000 + 0.1
+    assert elapsed < deadline_ms / 1_000 + 0.1
 
 
-def test_a_full_host_refuses_and_the_key_can_be_used_again(play, monkeypatch):
+def test_an_overloaded_host_refuses_and_the_key_stays_usable(play, monkeypatch):
     """A host has as many jobs as it may; one more comes.
 
     It is refused as not run, with when to come back, and then the same key runs. Cause:
     a burst; the binding stays, since the executor knows that it has not run the job.
     """
 
-    async def story(system):
+    async def scenario(system):
         host = system.bystander()
         runner: JobRunner = host.jobs._runner
         monkeypatch.setattr(runner, "_config", replace(runner._config, max_jobs=1))
@@ -77,21 +77,21 @@
             system.starts_of(key),
         )
 
-    refused, answer, starts = play(story)
+    refused, answer, starts = play(scenario)
     assert (refused.outcome, refused.reason) == (Outcome.REFUSED, Reason.OVERLOADED)
     assert refused.retry_after_ms > 0
     assert answer.outcome is Outcome.COMPLETE
     assert list(starts.values()) == [1]
 
 
-def test_a_wave_of_cancellations_stops_starts_and_tells_the_truth(play):
+def test_mass_cancellation_stops_starts_and_reports_each_task_correctly(play):
     """An auditor changes a threshold while 400 draws wait; all are cancelled at once.
 
     No draw starts another task, each is answered within a moment, and what is said of
     each task is true. Cause: one change of mind, thousands of tasks.
     """
 
-    async def story(system):
+    async def scenario(system):
         keys = [system.key(f"draw-{number}") for number in range(400)]
         hosts = list(system.hosts.values())
         answers = {}
@@ -105,20 +105,22 @@
                 host = hosts[number % len(hosts)]
                 callers.start_soon(system.submit, host, key, leave_job(10, 500))
             await anyio.sleep(2)
-            begun = anyio.current_time()
+            started_at = anyio.current_time()
             async with anyio.create_task_group() as group:
                 for number in range(len(keys)):
                     group.start_soon(cancel, number)
-            took = anyio.current_time() - begun
+            elapsed = anyio.current_time() - started_at
         starts = {key: system.starts_of(key) for key in keys}
         await anyio.sleep(5)
         later = {key: system.starts_of(key) for key in keys}
-        return answers, starts, later, took
+        return answers, starts, later, elapsed
 
-    answers, starts, later, took = play(story)
+    answers, starts, later, elapsed = play(scenario)
     assert len(answers) == 400
     assert later == starts
-    assert took < 1
+    assert elapsed < 1
     assert sum(answer.reason is Reason.CANCELLED for answer in answers.values()) > 350
-    assert all(truth(a, starts[key], key) == [] for key, a in answers.items())
+    assert all(
+        misreported_tasks(a, starts[key], key) == [] for key, a in answers.items()
+    )
     assert all(n == 1 for counts in starts.values() for n in counts.values())
--- a/tests/entry/test_submit.py
+++ b/tests/entry/test_submit.py
@@ -12,14 +12,14 @@
 
 
 @pytest.mark.parametrize("tasks", [1, 7, 100, 1_700])
-def test_a_job_gets_one_whole_answer(play, tasks):
-    async def story(system):
+def test_a_job_gets_one_complete_answer(play, tasks):
+    async def scenario(system):
         key = system.key("a")
         answer = await system.submit(system.bystander(), key, leave_job(tasks, 20))
         again = await system.submit(system.leader(), key, leave_job(tasks, 20))
         return answer, again, system.starts_of(key)
 
-    answer, again, starts = play(story)
+    answer, again, starts = play(scenario)
     assert answer.outcome is Outcome.COMPLETE
     assert len(answer.tasks) == tasks
     assert again == answer
@@ -37,19 +37,19 @@
         (GOOD_KEY, leave_job(1, repeatable=True), Reason.BAD_REQUEST),
     ],
 )
-def test_a_wrong_submission_is_refused_and_runs_nothing(play, key, request_, reason):
-    async def story(system):
+def test_an_invalid_submission_is_refused_and_runs_nothing(play, key, request_, reason):
+    async def scenario(system):
         answer = await system.submit(system.leader(), key, request_)
         return answer, sum(sum(m.starts.values()) for m in system.minions.values())
 
-    answer, starts = play(story)
+    answer, starts = play(scenario)
     assert (answer.outcome, answer.reason) == (Outcome.REFUSED, reason)
     assert answer.detail
     assert starts == 0
 
 
 def test_the_same_key_with_other_content_is_refused(play):
-    async def story(system):
+    async def scenario(system):
         key = system.key("a")
         first = await system.submit(system.leader(), key, leave_job(3))
         answers = [
@@ -58,28 +58,28 @@
         ]
         return first, answers, system.starts_of(key)
 
-    first, answers, starts = play(story)
+    first, answers, starts = play(scenario)
     assert first.outcome is Outcome.COMPLETE
     assert {answer.reason for answer in answers} == {Reason.KEY_CONFLICT}
     assert len(starts) == 3
 
 
 def test_a_repeatable_job_needs_no_key(play):
-    async def story(system):
+    async def scenario(system):
         request = leave_job(3, service=RERUN, repeatable=True)
         return await system.submit(system.leader(), None, request)
 
-    answer = play(story)
+    answer = play(scenario)
     assert answer.outcome is Outcome.COMPLETE
     assert answer.key.startswith("minted~")
 
 
-def test_an_expired_key_promises_nothing(play):
-    async def story(system):
+def test_a_job_with_an_expired_key_may_have_run(play):
+    async def scenario(system):
         return await system.submit(
             system.leader(), "own~20261231T075900Z~dc-0~a", leave_job(2)
         )
 
-    answer = play(story)
+    answer = play(scenario)
     assert (answer.outcome, answer.reason) == (Outcome.FAILED, Reason.KEY_EXPIRED)
     assert {task.state.value for task in answer.tasks} == {"may have run"}
