--- a/src/brasstray/dispatch/job_run.py
+++ b/src/brasstray/dispatch/job_run.py
@@ -211,8 +211,8 @@
         if not self._accepted.request.repeatable:
             return False
         task.repeat_count += 1
-        within = task.repeat_count <= self._context.timing.max_repeats
-        return within and self._context.retry_budget.try_withdraw()
+        within_limit = task.repeat_count <= self._context.timing.max_repeats
+        return within_limit and self._context.retry_budget.try_withdraw()
 
     async def _retry(self, task: TaskRun) -> None:
         timing, random = self._context.timing, self._context.random
--- a/src/brasstray/dispatch/minion_pool.py
+++ b/src/brasstray/dispatch/minion_pool.py
@@ -86,9 +86,9 @@
     def update(self, minions: list[ListedHost]) -> None:
         """Take over the platform's list; a minion is listed once per service."""
         names = {minion.name for minion in minions}
-        for gone in [name for name in self._loads if name not in names]:
-            del self._loads[gone]
-            self._idle.pop(gone, None)
+        for removed_name in [name for name in self._loads if name not in names]:
+            del self._loads[removed_name]
+            self._idle.pop(removed_name, None)
         for minion in minions:
             load = self._loads.setdefault(minion.name, MinionLoad(minion))
             if (load.listed.address, load.listed.port) != (minion.address, minion.port):
--- a/src/brasstray/entry/credit_reconciler.py
+++ b/src/brasstray/entry/credit_reconciler.py
@@ -51,17 +51,19 @@
             await self._clock.sleep(self._config.timing.reconcile_interval)
 
     def _reconcile(self) -> None:
-        elsewhere: Counter[str] = Counter()
+        held_elsewhere: Counter[str] = Counter()
         live = self._membership.live()
         for member in live:
-            elsewhere.update(member.holdings)
-        names = [m.incarnation for m in live if not m.draining]
+            held_elsewhere.update(member.holdings)
+        candidates = [m.incarnation for m in live if not m.draining]
         for load in self._pool.loads:
             minion = load.listed.name
-            if not load.staying or self.assigned_peer(minion, names) is not None:
+            if not load.staying or self.assigned_peer(minion, candidates) is not None:
                 self._shortfalls.pop(minion, None)
                 continue
-            self._correct(load, load.listed.slots - load.credits - elsewhere[minion])
+            self._correct(
+                load, load.listed.slots - load.credits - held_elsewhere[minion]
+            )
 
     def _correct(self, load: MinionLoad, shortfall: int) -> None:
         name = load.listed.name
--- a/src/brasstray/entry/executions.py
+++ b/src/brasstray/entry/executions.py
@@ -13,7 +13,7 @@
     from brasstray.dispatch.timing import DispatchTiming
     from brasstray.job.job_id import JobId
 
-_EARLIEST = datetime(2000, 1, 1, tzinfo=UTC)
+_INITIAL_HORIZON = datetime(2000, 1, 1, tzinfo=UTC)
 
 
 class Executions:
@@ -28,7 +28,7 @@
         self._clock = clock
         self._timing = timing
         self._runs: dict[JobId, JobRun] = {}
-        self._horizon = _EARLIEST
+        self._horizon = _INITIAL_HORIZON
 
     @property
     def runs(self) -> list[JobRun]:
--- a/src/brasstray/entry/forwarder.py
+++ b/src/brasstray/entry/forwarder.py
@@ -150,7 +150,7 @@
             hosts.insert(0, host_of(key.executor))
         return await self._forward_to_first(hosts, message, wait)
 
-    async def to_another(self, message: JobMessage, wait: timedelta) -> Answer:
+    async def to_peer(self, message: JobMessage, wait: timedelta) -> Answer:
         """Return the answer of another host of this data centre."""
         live = [m.host for m in self._membership.live() if not m.draining]
         self._random.shuffle(live)
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -152,7 +152,7 @@
                     key_is_unknown = known_executor.reason is Reason.UNKNOWN_KEY
                     return rejection if key_is_unknown else known_executor
             if self._runner.draining and self._runner.find(job) is None:
-                return await self._forwarder.to_another(submit, wait)
+                return await self._forwarder.to_peer(submit, wait)
             bound = await self._bind(job, key, request)
             if isinstance(bound, Answer):
                 return bound
@@ -194,7 +194,7 @@
             case Ok(key):
                 job = JobId(caller=caller, key=key.text())
                 fetch = Fetch(job=job, wait_ms=wait // _MILLISECOND, hops=hops + 1)
-                return await self._find(key, fetch, wait)
+                return await self._fetch_or_cancel(key, fetch, wait)
             case Err(detail):
                 return refused(None, Reason.BAD_REQUEST, f"key: {detail}")
 
@@ -204,11 +204,13 @@
             case Ok(key):
                 cancel = Cancel(job=JobId(caller=caller, key=key.text()), hops=hops + 1)
                 wait = self._config.timing.journal_timeout
-                return await self._find(key, cancel, wait)
+                return await self._fetch_or_cancel(key, cancel, wait)
             case Err(detail):
                 return refused(None, Reason.BAD_REQUEST, f"key: {detail}")
 
-    async def _find(self, key: Key, message: Fetch | Cancel, wait: timedelta) -> Answer:
+    async def _fetch_or_cancel(
+        self, key: Key, message: Fetch | Cancel, wait: timedelta
+    ) -> Answer:
         job = message.job
         if home_of(key) != self._config.data_centre:
             return await self._forwarder.to_home(key, message, wait)
--- a/src/brasstray/entry/membership.py
+++ b/src/brasstray/entry/membership.py
@@ -18,7 +18,7 @@
 
 
 FULL_RATE_PEERS = 4
-MISSED_HEARTBEATS = 3
+MAX_MISSED_HEARTBEATS = 3
 
 
 class Membership:
@@ -58,7 +58,7 @@
     def suspect_after(self) -> timedelta:
         """Return after how long a silence a host is taken for gone."""
         minimum = self._config.timing.suspect_after
-        return max(minimum, MISSED_HEARTBEATS * self.heartbeat_interval)
+        return max(minimum, MAX_MISSED_HEARTBEATS * self.heartbeat_interval)
 
     def listed_in(self, data_centre: DataCentreName) -> list[HostName]:
         """Return the listed entry hosts of `data_centre` but this one."""
