--- a/src/brasstray/dispatch/__init__.py
+++ b/src/brasstray/dispatch/__init__.py
@@ -1,1 +1,1 @@
-"""Run jobs: send each task to a minion and gather the answer."""
+"""Run jobs: send each task to a minion and collect the results into one answer."""
--- a/src/brasstray/dispatch/accepted_job.py
+++ b/src/brasstray/dispatch/accepted_job.py
@@ -14,7 +14,11 @@
 
 @dataclass(frozen=True)
 class AcceptedJob:
-    """Hold a job, its key's expiry, its place in the order and its weight."""
+    """Hold a job's request with its key's expiry, sequence number and weight.
+
+    The sequence number counts jobs in the order of acceptance on this host. The weight
+    comes from the operators' table and raises the job's priority.
+    """
 
     job: JobId
     request: JobRequest
--- a/src/brasstray/dispatch/dispatch_context.py
+++ b/src/brasstray/dispatch/dispatch_context.py
@@ -1,4 +1,4 @@
-"""Join what all jobs of an entry host run with."""
+"""Group the collaborators that all job runs of an entry host share."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class DispatchContext:
-    """Hold the slots, the way to minions, and the group that starts run in."""
+    """Hold the collaborators of a job run; starts run as tasks in `group`."""
 
     group: TaskGroup
     pool: MinionPool
--- a/src/brasstray/dispatch/job_run.py
+++ b/src/brasstray/dispatch/job_run.py
@@ -1,4 +1,4 @@
-"""Run one job on the only incarnation that may."""
+"""Run one job on its executor, the only incarnation that may start its tasks."""
 
 from __future__ import annotations
 
@@ -30,9 +30,10 @@
 
 
 class JobRun:
-    """Send a job's tasks, each at most once unless known not to have run.
+    """Send a job's tasks to minions and build the job's answer.
 
-    A job that may be repeated also resends tasks that may have run.
+    A task is sent again only if it is known not to have run. In a repeatable job, a
+    task that may have run is sent again as well, within the retry budget.
     """
 
     def __init__(self, accepted: AcceptedJob, context: DispatchContext) -> None:
@@ -64,12 +65,12 @@
 
     @property
     def sequence_number(self) -> int:
-        """Return the job's place in the order of acceptance."""
+        """Return the job's position in the order of acceptance on this host."""
         return self._accepted.sequence_number
 
     @property
     def weight(self) -> float:
-        """Return how much the job counts in the order of jobs."""
+        """Return the job's scheduling weight."""
         return self._accepted.weight
 
     @property
@@ -79,7 +80,7 @@
 
     @property
     def unsent(self) -> int:
-        """Return how many tasks wait to be sent."""
+        """Return how many tasks are queued for sending."""
         return len(self._pending)
 
     @property
@@ -94,7 +95,7 @@
 
     @property
     def state(self) -> JobState:
-        """Return how far the job has come."""
+        """Return the job's current state."""
         return self._state
 
     @property
@@ -104,13 +105,13 @@
 
     @property
     def answered_at(self) -> timedelta | None:
-        """Return when the answer was committed, by the monotonic clock."""
+        """Return the monotonic time at which the answer was committed."""
         return self._answered_at
 
     async def run(self, commit: Callable[[JobRun, Answer], Awaitable[Answer]]) -> None:
-        """Send every task, then commit the answer and let callers have it."""
+        """Send every task, commit the answer, then release it to waiting callers."""
         self._state = self._state.to(JobState.RUNNING)
-        # A forgotten key must not have a job that still runs.
+        # The job must end before its key expires, since expired keys are forgotten.
         time_left = min(
             self._accepted.request.deadline,
             self._accepted.expires - self._context.clock.now(),
@@ -127,17 +128,17 @@
         self._answered.set()
 
     def cancel(self) -> None:
-        """Stop starts at once; what was sent may have run."""
+        """Stop starting tasks; those already sent may still run."""
         self._stop(Reason.CANCELLED)
 
     async def answer(self, wait: timedelta) -> Answer | None:
-        """Return the committed answer, or None if there is none within `wait`."""
+        """Wait up to `wait` for the committed answer; return None if there is none."""
         with anyio.move_on_after(wait.total_seconds()):
             await self._answered.wait()
         return self._answer
 
     def drop_results(self) -> None:
-        """Drop the results and keep only how each task ended."""
+        """Free the memory of the results and keep only each task's final state."""
         if self._answer is not None and self._answer.outcome is Outcome.COMPLETE:
             self._answer = lost_answer(self._answer)
         self._tasks, self._pending = [], deque()
@@ -162,10 +163,11 @@
             self._context.group.start_soon(self._send, task, load)
 
     async def _send(self, task: TaskRun, load: MinionLoad) -> None:
-        """Start `task`; this goes on when the job has given up.
+        """Start `task` on the minion of `load`; not cancelled when the job stops.
 
-        Guards against a credit that is taken for idle while the task of a cancelled
-        job still fills its slot: the next start there would be refused.
+        The credit stays in use until the minion replies. If it were released when the
+        job is cancelled, the task would still fill the slot and the next start there
+        would be refused.
         """
         context = self._context
         task.send_count += 1
@@ -206,8 +208,8 @@
             self._context.group.start_soon(self._retry, task)
 
     def _claim_repeat(self, task: TaskRun) -> bool:
-        # Guards against a doubled start: a reply that never came does not tell whether
-        # the task ran, so only a job that may be repeated sends it again.
+        # Without a reply it is unknown whether the task ran. Sending it again could run
+        # it twice, which only a repeatable job allows.
         if not self._accepted.request.repeatable:
             return False
         task.repeat_count += 1
@@ -236,7 +238,7 @@
 
 
 def lost_answer(answer: Answer) -> Answer:
-    """Return what can still be told of a complete answer whose results are gone."""
+    """Return a copy of a complete answer without its results, which were dropped."""
     return answer.model_copy(
         update={
             "outcome": Outcome.FAILED,
--- a/src/brasstray/dispatch/minion_health.py
+++ b/src/brasstray/dispatch/minion_health.py
@@ -1,4 +1,4 @@
-"""Judge a minion by how its starts end."""
+"""Track the failures of a minion and eject it after too many."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 @dataclass
 class MinionHealth:
-    """Count failures in a row; after some the minion is ejected for a while.
+    """Count consecutive failures of a minion and hold its ejection state.
 
-    Guards against a minion that fails all it starts: it is fast, so its slots are
-    always free, and it would draw most of the work to itself.
+    A minion that fails every task fails fast, so its slots are always free and it
+    would attract most of the work. Ejecting it for a while prevents that.
     """
 
     failures: int = 0
@@ -25,33 +25,33 @@
 
     @property
     def on_probation(self) -> bool:
-        """Tell whether the minion was ejected and has done nothing since."""
+        """Return whether the minion has had no success since its last ejection."""
         return self.ejections > 0
 
     def record_success(self) -> None:
-        """Take note of a start that gave a result."""
+        """Record a start that returned a result, and end probation."""
         self.failures = 0
         self.ejections = 0
         self.last_failed_job = None
 
     def record_failure(self, job: JobId) -> None:
-        """Take note of a start of `job` that gave none.
+        """Record a start of `job` that returned no result.
 
-        Guards against a job that fails wherever it is sent: it counts once for each
-        minion, so that it ejects none alone.
+        Consecutive failures of one job count once, so that a job that fails on every
+        minion cannot eject any of them by itself.
         """
         if job != self.last_failed_job:
             self.failures += 1
             self.last_failed_job = job
 
     def assume_failures(self, failures: int) -> None:
-        """Take a peer's ejection for as much evidence as `failures` of one's own."""
+        """Raise the failure count to at least `failures`, on evidence from a peer."""
         self.failures = max(self.failures, failures)
 
     def eject(
         self, now: timedelta, min_duration: timedelta, max_duration: timedelta
     ) -> None:
-        """Keep work away for a time that doubles with each ejection."""
+        """Eject the minion, for twice as long with each consecutive ejection."""
         self.ejected_until = now + min(max_duration, min_duration * 2**self.ejections)
         self.ejections += 1
         self.failures = 0
--- a/src/brasstray/dispatch/minion_load.py
+++ b/src/brasstray/dispatch/minion_load.py
@@ -1,4 +1,4 @@
-"""Hold what one entry host knows of one minion."""
+"""Describe a minion as one entry host sees it."""
 
 from __future__ import annotations
 
@@ -16,9 +16,10 @@
 
 @dataclass
 class MinionLoad:
-    """Hold a minion's listing, this host's starts and credits, and its rest.
+    """Hold a minion's listing, health, backoff, and this host's starts and credits.
 
-    A credit is the right to fill one of the minion's slots; a start uses one.
+    A credit is the right to fill one of the minion's slots; a start in progress uses
+    one. `outstanding` counts this host's starts in progress on the minion.
     """
 
     listed: ListedHost
@@ -31,20 +32,23 @@
 
     @property
     def staying(self) -> bool:
-        """Tell whether the minion takes new work for all that is known."""
+        """Return whether the minion is listed as live and not known to be leaving."""
         return not self.leaving and self.listed.state is HostState.LIVE
 
     @property
     def idle_credits(self) -> int:
-        """Return how many credits no start uses."""
+        """Return how many credits are not in use by a start."""
         return max(0, self.credits - self.outstanding)
 
     def can_start(self, now: timedelta) -> bool:
-        """Tell whether a start may be sent at `now`, by the monotonic clock."""
+        """Return whether a start may be sent at the monotonic time `now`.
+
+        A minion on probation gets one start at a time.
+        """
         if self.health.on_probation and self.outstanding:
             return False
-        resting = max(self.backoff_until, self.health.ejected_until) > now
-        return self.staying and not resting
+        backing_off = max(self.backoff_until, self.health.ejected_until) > now
+        return self.staying and not backing_off
 
 
 __all__ = ["MinionLoad"]
--- a/src/brasstray/dispatch/minion_pool.py
+++ b/src/brasstray/dispatch/minion_pool.py
@@ -1,4 +1,4 @@
-"""Give jobs the slots of minions."""
+"""Assign minion slots to waiting jobs."""
 
 from __future__ import annotations
 
@@ -36,7 +36,10 @@
 
 
 class MinionPool:
-    """Match waiting jobs with free slots, by two policies that are passed in."""
+    """Assign free slots to waiting jobs, and track minions and their credits.
+
+    The slot policy selects the minion, the order policy the job that is served next.
+    """
 
     def __init__(
         self,
@@ -59,7 +62,7 @@
 
     @property
     def loads(self) -> list[MinionLoad]:
-        """Return what is known of each minion."""
+        """Return the state of every listed minion."""
         return list(self._loads.values())
 
     @property
@@ -69,22 +72,22 @@
 
     @property
     def demand(self) -> Counter[ServiceName]:
-        """Return how many tasks wait for a slot, by service."""
+        """Return how many tasks are waiting for a slot, by service."""
         demand: Counter[ServiceName] = Counter()
         for waiter in self._waiters:
             demand[waiter.job.service] += waiter.job.unsent
         return demand
 
     def set_idle_callback(self, function: Callable[[MinionLoad], None]) -> None:
-        """Call `function` when a credit has become idle, before a job here gets it."""
+        """Call `function` when a credit becomes idle, before a job here uses it."""
         self._idle_callback = function
 
     def get(self, minion: str) -> MinionLoad | None:
-        """Return what is known of a minion."""
+        """Return the state of `minion`, or None if it is not listed."""
         return self._loads.get(minion)
 
     def update(self, minions: list[ListedHost]) -> None:
-        """Take over the platform's list; a minion is listed once per service."""
+        """Apply the platform's list, in which a minion has one entry per service."""
         names = {minion.name for minion in minions}
         for removed_name in [name for name in self._loads if name not in names]:
             del self._loads[removed_name]
@@ -102,14 +105,17 @@
         self._assign_slots()
 
     async def acquire(self, job: WaitingJob) -> MinionLoad:
-        """Wait for a slot for a task of `job` and return its minion."""
+        """Wait for a free slot for a task of `job` and return its minion.
+
+        Each call must be paired with a call of `release`.
+        """
         waiter = SlotWaiter(job)
         self._waiters.append(waiter)
         self._assign_slots()
         try:
             while waiter.load is None:
                 self._demand_event.set()
-                # Minions that rest are looked at again when their rest may be over.
+                # Nothing signals the end of a backoff, so the minions are polled.
                 with anyio.move_on_after(self._timing.full_backoff.total_seconds()):
                     await waiter.assigned.wait()
                 if waiter.load is None:
@@ -123,13 +129,13 @@
         return waiter.load
 
     async def wait_for_demand(self) -> None:
-        """Wait until a job waits for a slot."""
+        """Wait until at least one job is waiting for a slot."""
         while not self._waiters:
             self._demand_event = anyio.Event()
             await self._demand_event.wait()
 
     def release(self, load: MinionLoad) -> None:
-        """End a start that was sent to the minion of `load`."""
+        """Return the slot of `load` that a start has used, and reassign it."""
         load.outstanding -= 1
         self._update_idle(load)
         if self._idle_callback is not None and load.idle_credits:
@@ -138,20 +144,20 @@
 
     @property
     def ejected(self) -> list[str]:
-        """Return the minions that this host keeps work away from."""
+        """Return the names of the minions that this host has ejected."""
         now = self._clock.monotonic()
         loads = self._loads.items()
         return [name for name, load in loads if load.health.ejected_until > now]
 
     def record_peer_ejections(self, minions: list[str]) -> None:
-        """Take note that a peer keeps work away from `minions`."""
+        """Record that a peer has ejected `minions`; one failure here ejects them."""
         for minion in minions:
             load = self._loads.get(minion)
             if load is not None:
                 load.health.assume_failures(self._timing.eject_after_failures - 1)
 
     def record_failure(self, load: MinionLoad, job: JobId, reason: RetryReason) -> None:
-        """Take note that a start of `job` on the minion of `load` gave no result."""
+        """Record that a start of `job` on the minion of `load` returned no result."""
         self._apply_failure(load, job, reason)
         self._update_idle(load)
 
@@ -159,14 +165,15 @@
         now = self._clock.monotonic()
         match reason:
             case RetryReason.FULL:
-                # Somebody else fills the slot of this credit: two hosts held it.
+                # Another host holds the same credit and has filled the slot.
                 load.credits = max(0, load.credits - 1)
                 load.backoff_until = now + self._timing.full_backoff
             case RetryReason.LEAVING:
                 load.leaving = True
                 load.credits = 0
             case RetryReason.CONNECTION_REFUSED:
-                # No job can be the cause, and each further try is a wasted message.
+                # No job can cause this, so the first refusal already ejects the minion;
+                # each further attempt would be a wasted message.
                 if not load.health.on_probation or load.health.ejected_until <= now:
                     self._eject(load, now)
                 load.backoff_until = now + self._timing.failure_backoff
@@ -177,8 +184,8 @@
                     self._eject(load, now)
 
     def _eject(self, load: MinionLoad, now: timedelta) -> None:
-        # With many minions bad at once the cause is more likely elsewhere, and the
-        # rest would be overrun: so only a part is ever ejected.
+        # When many minions fail at once, the cause is probably elsewhere, and ejecting
+        # them all would overload the others. So only a share is ever ejected.
         ejected_count = sum(
             1 for other in self._loads.values() if other.health.on_probation
         )
@@ -190,7 +197,7 @@
             load.health.eject(now, min_duration, max_duration)
 
     def add_credits(self, granted: dict[str, int]) -> None:
-        """Hold more credits."""
+        """Add granted credits, up to the number of slots of each minion."""
         for minion, count in granted.items():
             load = self._loads.get(minion)
             if load is not None and load.staying:
@@ -199,7 +206,10 @@
         self._assign_slots()
 
     def yield_credits(self, service: ServiceName, limit: int) -> dict[str, int]:
-        """Give up to `limit` idle credits of minions that run `service`."""
+        """Give up at most `limit` idle credits of minions that run `service`.
+
+        Return their number by minion, to be granted to a peer.
+        """
         yielded: dict[str, int] = {}
         for name, load in list(self._idle.items()):
             if service in load.services and load.staying:
@@ -210,13 +220,13 @@
         return yielded
 
     def drop_credits(self, load: MinionLoad, count: int) -> None:
-        """Hold up to `count` fewer of a minion's idle credits."""
+        """Discard up to `count` of a minion's idle credits."""
         load.credits -= min(load.idle_credits, count)
         self._update_idle(load)
 
     def _update_idle(self, load: MinionLoad) -> None:
-        # Keeps the choice cheap with hundreds of minions; the one that has been idle
-        # for longest comes first.
+        # An index of idle minions keeps the selection cheap with hundreds of minions.
+        # The minion that has been idle longest comes first.
         if not load.idle_credits:
             self._idle.pop(load.listed.name, None)
         else:
--- a/src/brasstray/dispatch/policies.py
+++ b/src/brasstray/dispatch/policies.py
@@ -1,4 +1,4 @@
-"""List the ways to choose a slot, and the order in which jobs get one."""
+"""Define the policies that select a slot, and those that order waiting jobs."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 
 @dataclass(frozen=True)
 class BlindRandom:
-    """Send to any minion; a baseline that knows nothing."""
+    """Select any minion at random, whatever its load; a baseline for measurements."""
 
 
 @dataclass(frozen=True)
 class TwoChoices:
-    """Draw two minions and take the one with fewer starts of this host's."""
+    """Sample two minions with free slots; select the one with fewer own starts."""
 
 
 @dataclass(frozen=True)
 class SlotCredits:
-    """Fill only slots that this host holds the credit for."""
+    """Select only slots for which this host holds a credit."""
 
 
 SlotPolicy = BlindRandom | TwoChoices | SlotCredits
@@ -30,12 +30,12 @@
 
 @dataclass(frozen=True)
 class RoundRobin:
-    """Serve one task of each waiting job in turn."""
+    """Serve the waiting jobs in turn, one task each."""
 
 
 @dataclass(frozen=True)
 class ShortestRemainingFirst:
-    """Serve the job with the fewest unfinished tasks, over its weight."""
+    """Serve the job with the fewest unfinished tasks, divided by its weight."""
 
 
 OrderPolicy = FirstComeFirst | RoundRobin | ShortestRemainingFirst
--- a/src/brasstray/dispatch/retry_budget.py
+++ b/src/brasstray/dispatch/retry_budget.py
@@ -1,4 +1,4 @@
-"""Bound the repeats of tasks that may have run."""
+"""Limit how often tasks that may have run are sent again."""
 
 from __future__ import annotations
 
@@ -7,21 +7,21 @@
 
 
 class RetryBudget:
-    """Allow repeats as a tenth of successes, with some saved for a bad moment.
+    """Allow one repeat per ten successes, plus a saved balance for short outages.
 
-    Guards against a retry storm: when much fails at once, repeats would double the load
-    on what is left, and keep it failing.
+    The limit prevents a retry storm: when many tasks fail at once, unlimited repeats
+    would double the load on the remaining minions and keep them failing.
     """
 
     def __init__(self) -> None:
         self._balance = MAX_BALANCE
 
     def deposit(self) -> None:
-        """Take note of a success."""
+        """Credit the budget for one successful task."""
         self._balance = min(MAX_BALANCE, self._balance + DEPOSIT_PER_SUCCESS)
 
     def try_withdraw(self) -> bool:
-        """Tell whether one more repeat is allowed, and take it."""
+        """Withdraw one repeat; return False if the balance does not allow it."""
         if self._balance < 1:
             return False
         self._balance -= 1
--- a/src/brasstray/dispatch/slot_waiter.py
+++ b/src/brasstray/dispatch/slot_waiter.py
@@ -1,4 +1,4 @@
-"""Hold a job's wait for its next slot."""
+"""Describe a job that waits for a slot."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 class WaitingJob(Protocol):
-    """Tell what the order of jobs depends on."""
+    """Provide what the order policies and the slot selection need to know of a job."""
 
     @property
     def service(self) -> ServiceName:
@@ -21,11 +21,11 @@
 
     @property
     def sequence_number(self) -> int:
-        """Return the job's place in the order of acceptance."""
+        """Return the job's position in the order of acceptance on this host."""
 
     @property
     def weight(self) -> float:
-        """Return how much the job counts; one of weight two goes as if half as long."""
+        """Return the scheduling weight; weight two ranks a job as if half as long."""
 
     @property
     def unfinished(self) -> int:
@@ -33,12 +33,12 @@
 
     @property
     def unsent(self) -> int:
-        """Return how many tasks wait to be sent."""
+        """Return how many tasks are queued for sending."""
 
 
 @dataclass
 class SlotWaiter:
-    """Hold a waiting job, and its slot's minion once it has one."""
+    """Hold a waiting job and, once `assigned` is set, the minion of its slot."""
 
     job: WaitingJob
     load: MinionLoad | None = None
--- a/src/brasstray/dispatch/task_run.py
+++ b/src/brasstray/dispatch/task_run.py
@@ -1,4 +1,4 @@
-"""Hold one task while its job runs."""
+"""Track one task while its job runs."""
 
 from __future__ import annotations
 
@@ -15,7 +15,11 @@
 
 @dataclass
 class TaskRun:
-    """Hold a task, its state, its result and how often it was sent."""
+    """Hold a task, its state, its result and its send counts.
+
+    `send_count` counts all sends; `repeat_count` counts the times that the task may
+    have run and was to be sent again.
+    """
 
     index: int
     request: TaskRequest
@@ -25,11 +29,11 @@
     repeat_count: int = 0
 
     def advance(self, next_state: TaskState) -> None:
-        """Move on to state `after`; raise TransitionError if it cannot follow."""
+        """Change to `next_state`; raise TransitionError if that is not allowed."""
         self.state = self.state.to(next_state)
 
     def finalize(self) -> None:
-        """Move on to the final state that the job's end leaves this task in."""
+        """Change to the final state that follows from the end of the job."""
         match self.state:
             case TaskState.PENDING:
                 self.advance(TaskState.NOT_RUN)
--- a/src/brasstray/dispatch/timing.py
+++ b/src/brasstray/dispatch/timing.py
@@ -1,4 +1,4 @@
-"""Hold the intervals that jobs run by."""
+"""Define the delays and limits of job runs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,11 @@
 
 @dataclass(frozen=True)
 class DispatchTiming:
-    """Set how starts are retried and how long answers are held."""
+    """Configure retries, backoff, ejection and the retention of results.
+
+    `full_backoff` applies to a minion that refused a start because its slots are full,
+    `failure_backoff` to one whose start failed otherwise.
+    """
 
     min_retry_delay: timedelta = timedelta(milliseconds=10)
     max_retry_delay: timedelta = timedelta(seconds=1)
--- a/tests/dispatch/test_minion_pool.py
+++ b/tests/dispatch/test_minion_pool.py
@@ -1,4 +1,4 @@
-"""Check which minion gets a start, and which gets none."""
+"""Test the assignment of slots, credits and the ejection of minions."""
 
 from __future__ import annotations
 
@@ -124,10 +124,10 @@
 
 
 def test_a_full_reply_drops_the_credit():
-    """Two hosts hold the same credit after a partition.
+    """After a network partition, two hosts can hold the same credit.
 
-    The second start is refused as full. The credit is dropped, or every later start
-    on it would be refused as well.
+    The second start is refused as full. The credit must be dropped, otherwise every
+    later start that uses it is refused as well.
     """
 
     async def scenario():
@@ -160,10 +160,10 @@
 
 
 def test_a_minion_that_fails_several_jobs_is_ejected_and_readmitted():
-    """A minion fails everything at once, so its slots are always free.
+    """A minion that fails every task at once always has free slots.
 
-    Unless it is kept away from, it draws most tasks to itself and fails them all.
-    After a while it gets one task; if that is done, it is back.
+    Without ejection it attracts most tasks and fails them all. After the ejection it
+    gets one task on probation; a success readmits it.
     """
 
     async def scenario():
--- a/tests/dispatch/test_retry_budget.py
+++ b/tests/dispatch/test_retry_budget.py
@@ -1,4 +1,4 @@
-"""Check that repeats stay a fraction of successes."""
+"""Test that repeats are limited to a fraction of successes."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 @pytest.mark.parametrize("successes", [0, 100, 10_000])
 def test_repeats_are_a_fraction_of_successes(successes):
-    """Minions start to fail everything while repeatable jobs run.
+    """Guard against a retry storm when minions fail all tasks of repeatable jobs.
 
-    Each failure asks for a repeat. Without a bound the repeats would double the load
+    Each failure requests a repeat; without a limit the repeats would double the load
     and keep the minions failing.
     """
     budget = RetryBudget()
