--- a/src/brasstray/entry/__init__.py
+++ b/src/brasstray/entry/__init__.py
@@ -1,1 +1,1 @@
-"""Serve callers on one entry host."""
+"""Serve callers and peers on one entry host."""
--- a/src/brasstray/entry/config.py
+++ b/src/brasstray/entry/config.py
@@ -1,4 +1,4 @@
-"""Describe what an entry host is told about itself."""
+"""Define the configuration of an entry host."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True)
 class EntryConfig:
-    """Hold an entry host's names, services and limits."""
+    """Configure an entry host's identity, services, limits and policies."""
 
     data_centre: DataCentreName
     host: HostName
--- a/src/brasstray/entry/credit_exchange.py
+++ b/src/brasstray/entry/credit_exchange.py
@@ -1,4 +1,4 @@
-"""Move slot credits between the entry hosts of a data centre to where work waits."""
+"""Exchange slot credits between the entry hosts of a data centre on demand."""
 
 from __future__ import annotations
 
@@ -28,7 +28,11 @@
 
 @dataclass
 class _UnmetRequest:
-    """What a peer asked for and did not get: a wish, and what it is owed of it."""
+    """Hold what a peer has requested and not yet received.
+
+    `remaining` is the rest of the request; `owed` is the part of it that this host
+    grants as soon as credits become idle.
+    """
 
     service: ServiceName
     remaining: int
@@ -37,13 +41,13 @@
 
 
 class CreditExchange:
-    """Ask peers for credits while tasks wait, and yield credits to peers that ask.
+    """Borrow credits from peers while tasks wait, and grant credits that peers request.
 
-    A credit is the right to fill one slot of one minion. Its holder uses it again and
-    again while it has work. Idle credits go to peers whose tasks wait; if both have
-    work, the one that holds more yields until both hold alike, so a small job finds
-    slots beside a large one. A credit that is lost on its way is minted anew by its
-    minion's home; one held twice costs a refusal, never a second start.
+    A credit is the right to fill one slot of one minion. Its holder reuses it as long
+    as it has work. Idle credits go to peers with waiting tasks. If both hosts have
+    work, the one with more credits yields until both hold the same number, so that a
+    small job gets slots beside a large one. A credit lost in transit is replaced by
+    CreditReconciler. A credit held twice causes a refused start, never a second one.
     """
 
     def __init__(
@@ -72,8 +76,8 @@
             self._reserve(load)
 
     def _reserve(self, load: MinionLoad) -> None:
-        # Guards against a claim that is never served: with jobs waiting here, a credit
-        # is idle only for this moment.
+        # While jobs wait here, a credit is idle only until the next slot assignment.
+        # Unless it is reserved now, the peer's request is never served.
         for peer, request in self._unmet_requests.items():
             if request.owed > 0 and request.service in load.services:
                 self._pool.drop_credits(load, 1)
@@ -82,7 +86,7 @@
                 return
 
     async def run(self) -> None:
-        """Borrow and yield until cancelled."""
+        """Borrow and grant credits until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._borrow)
             group.start_soon(self._serve_requests)
@@ -115,7 +119,7 @@
             self._pool.add_credits(reply.minions)
 
     def grant(self, peer: IncarnationId, message: BorrowSlots) -> SlotsGranted:
-        """Return idle credits for `peer`, and remember what else it wants."""
+        """Grant idle credits to `peer`, and remember the unmet part of its request."""
         granted: dict[str, int] = {}
         if not self._pool.demand:
             granted = self._pool.yield_credits(message.service, message.wanted)
@@ -137,7 +141,7 @@
         while True:
             await self._idle_event.wait()
             self._idle_event = anyio.Event()
-            # Credits that become idle together go in one message.
+            # The delay batches credits that become idle together into one message.
             await self._clock.sleep(self._config.timing.grant_delay)
             async with anyio.create_task_group() as group:
                 reserved, self._reserved = self._reserved, {}
@@ -182,7 +186,7 @@
             return
 
     async def hand_over_credits(self) -> None:
-        """Leave idle credits to a peer; to be called while draining."""
+        """Grant all idle credits to a peer; called while draining."""
         live = [member for member in self._membership.live() if not member.draining]
         services: Counter[ServiceName] = Counter()
         for load in self._pool.loads:
--- a/src/brasstray/entry/election.py
+++ b/src/brasstray/entry/election.py
@@ -1,4 +1,4 @@
-"""Lead the data centre's journal when nobody else does."""
+"""Take over the leadership of the data centre's journal when the leader fails."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 
 
 class Election:
-    """Watch the leader, begin a term in its place, and end it on leaving."""
+    """Monitor the leader, replace it when it fails, and release the term on drain."""
 
     def __init__(
         self,
@@ -51,21 +51,22 @@
         self._withdrawn = False
 
     async def run(self) -> None:
-        """Take over whenever the leader is not heard, and lead until deposed."""
+        """Take over whenever the leader is silent, and lead until deposed."""
         timing = self._config.timing
         while True:
             await self._clock.sleep(timing.heartbeat)
             if self._withdrawn or self._membership.is_leader_live():
                 continue
-            # Spreads candidates, so that one usually finds no rival at the journal.
+            # A random delay spreads the candidates, so that usually only one tries.
             await self._clock.sleep(timing.heartbeat * self._random.random())
             if not self._membership.is_leader_live() and await self._may_take_over():
                 await self._take_over()
 
     async def _may_take_over(self) -> bool:
-        # Guards against a host that is cut off from its peers but not from the
-        # platform: it would depose a leader that all others hear, again and again.
-        # Such a host first watches the leader's lease for longer than a renewal takes.
+        # A host that is cut off from its peers but not from the platform would
+        # repeatedly depose a leader that all other hosts hear. A host that hears
+        # fewer than half of them first watches the leader's lease for longer than a
+        # renewal takes.
         if self._membership.hears_half():
             return True
         try:
@@ -99,14 +100,14 @@
             log_message("brasstray:leads_no_more", term=leader.writer.term)
 
     async def _watch_for_later_term(self, leader: Leader, group: TaskGroup) -> None:
-        # Guards against a leader that is idle, so that no write tells it of its end,
-        # and goes on to say that it knows of no binding.
+        # An idle leader does not learn from a failed write that it was deposed, and
+        # would keep replying that a key has no binding.
         while self._membership.term <= leader.writer.term:
             await self._clock.sleep(self._config.timing.heartbeat)
         group.cancel_scope.cancel()
 
     async def withdraw(self) -> None:
-        """Take over no more, and release the term with everything flushed."""
+        """Stop taking over, and release the term after flushing all records."""
         self._withdrawn = True
         if self._journal_service.leader is not None:
             try:
--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -1,4 +1,4 @@
-"""Join the parts of an entry host."""
+"""Assemble an entry host from its components."""
 
 from __future__ import annotations
 
@@ -38,7 +38,7 @@
 class EntryHost:
     """Serve callers and peers on one entry host.
 
-    Everything outside is passed in. Nothing is kept beyond the process.
+    All external interfaces are injected. No state outlives the process.
     """
 
     def __init__(self, config: EntryConfig, dependencies: Surroundings) -> None:
@@ -112,17 +112,17 @@
 
     @property
     def config(self) -> EntryConfig:
-        """Return what this host was told about itself."""
+        """Return this host's configuration."""
         return self._config
 
     @property
     def jobs(self) -> JobService:
-        """Return what serves callers."""
+        """Return the service that handles callers' requests."""
         return self._jobs
 
     @property
     def membership(self) -> Membership:
-        """Return what is known of other entry hosts."""
+        """Return this host's view of the other entry hosts."""
         return self._membership
 
     @property
@@ -132,27 +132,27 @@
 
     @property
     def pool(self) -> MinionPool:
-        """Return the minions of this data centre and this host's credits."""
+        """Return the pool of this data centre's minions and this host's credits."""
         return self._pool
 
     @property
     def tables(self) -> TableCache:
-        """Return what holds the operators' table."""
+        """Return the cache of the operators' table."""
         return self._tables
 
     @property
     def journal_service(self) -> JournalService:
-        """Return what answers for the journal while this host leads."""
+        """Return the service that handles journal requests while this host leads."""
         return self._journal_service
 
     @property
     def metrics(self) -> Metrics:
-        """Return this host's counters."""
+        """Return this host's metrics."""
         return self._metrics
 
     @property
     def draining(self) -> bool:
-        """Tell whether this host accepts no more jobs."""
+        """Return whether this host is draining and accepts no more jobs."""
         return self._draining
 
     async def run(self) -> None:
@@ -173,10 +173,10 @@
             self._executions.purge()
 
     async def drain(self) -> int:
-        """Stop accepting, finish what runs, and return how many jobs are left.
+        """Stop accepting jobs, wait for running ones, and return how many are left.
 
-        Peers are told by heartbeat and the balancer by the health endpoint; the wait
-        is bounded by the drain limit.
+        Peers learn of it from heartbeats, the load balancer from the health endpoint.
+        The wait is limited by the drain limit.
         """
         self._draining = True
         self._runner.drain()
--- a/src/brasstray/entry/errors.py
+++ b/src/brasstray/entry/errors.py
@@ -1,14 +1,14 @@
-"""Name what can go wrong on an entry host."""
+"""Define the errors of the entry layer."""
 
 from __future__ import annotations
 
 
 class EntryError(Exception):
-    """Base of the entry layer's errors."""
+    """Base class of the entry layer's errors."""
 
 
 class JournalUnreachableError(EntryError):
-    """No leader replied in time; what was asked of it may have been committed."""
+    """No leader replied in time; the requested record may have been committed."""
 
 
 __all__ = ["EntryError", "JournalUnreachableError"]
--- a/src/brasstray/entry/executions.py
+++ b/src/brasstray/entry/executions.py
@@ -1,4 +1,4 @@
-"""Hold the jobs that this incarnation has accepted."""
+"""Keep the jobs that this incarnation has accepted."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 
 
 class Executions:
-    """Remember every accepted job until its key has expired.
+    """Keep every accepted job until its key has expired.
 
-    This memory is what keeps a job from running twice: only this incarnation may
-    start the job's tasks, and it starts none for a job that it remembers, or for a
-    key that it may have forgotten.
+    This is what prevents a job from running twice: only this incarnation may start the
+    job's tasks, and it accepts neither a job that it still keeps nor a key that it may
+    have forgotten.
     """
 
     def __init__(self, clock: Clock, timing: DispatchTiming) -> None:
@@ -32,7 +32,7 @@
 
     @property
     def runs(self) -> list[JobRun]:
-        """Return every job that is remembered."""
+        """Return the runs of all jobs that are kept."""
         return list(self._runs.values())
 
     @property
@@ -42,21 +42,22 @@
         return sum(1 for run in runs if run.state is not JobState.ANSWERED)
 
     def get(self, job: JobId) -> JobRun | None:
-        """Return the run of `job`, if it is remembered."""
+        """Return the run of `job`, or None if it is not kept."""
         return self._runs.get(job)
 
     def may_have_forgotten(self, expires: datetime) -> bool:
-        """Tell whether a key that expires then may have been forgotten."""
+        """Return whether a key that expires at `expires` may have been forgotten."""
         return expires <= self._horizon
 
     def add(self, run: JobRun) -> None:
-        """Remember `run` from now on."""
+        """Keep `run` until its key expires."""
         self._runs[run.job] = run
 
     def purge(self) -> None:
-        """Forget jobs with expired keys, and the results held long enough."""
+        """Remove answered jobs with expired keys, and results past their hold time."""
         now, monotonic_now = self._clock.now(), self._clock.monotonic()
-        # The horizon only goes up, so a clock set back can't revive a forgotten key.
+        # The horizon never moves back, so a clock that is set back cannot make a
+        # forgotten key valid again.
         self._horizon = max(self._horizon, now)
         for job, run in list(self._runs.items()):
             if run.answered_at is None:
--- a/src/brasstray/entry/forwarder.py
+++ b/src/brasstray/entry/forwarder.py
@@ -1,4 +1,4 @@
-"""Pass submissions, fetches and cancellations on to the host that can answer them."""
+"""Forward submissions, fetches and cancellations to a host that can answer them."""
 
 from __future__ import annotations
 
@@ -34,7 +34,10 @@
 
 
 class Forwarder:
-    """Ask the executor, or a host of the key's home, and tell only what is sure."""
+    """Forward messages to the executor, to a peer, or to the key's home data centre.
+
+    Without a reply, the answer states no outcome that may turn out to be wrong.
+    """
 
     def __init__(
         self,
@@ -58,7 +61,7 @@
         wait: timedelta,
         task_count: int,
     ) -> Answer:
-        """Return the executor's answer, or what the journal says once it is fenced."""
+        """Return the executor's answer, or the journal's if the executor is fenced."""
         job = message.job
         answers: list[Answer] = []
         async with anyio.create_task_group() as group:
@@ -80,9 +83,9 @@
         wait: timedelta,
         answers: list[Answer],
     ) -> None:
-        # Guards against calling "not run" what may run: when the reply is lost, the
-        # executor may have had the message, and only it knows. Its key makes asking
-        # again harmless.
+        # When a reply is lost, the executor may have received the message, and no other
+        # host can tell. So the job must not be reported as not run. Repeating the call
+        # is safe, since the key makes it idempotent.
         deadline = self._clock.monotonic() + wait
         while True:
             time_left = max(deadline - self._clock.monotonic(), timedelta(0))
@@ -104,7 +107,10 @@
         answers: list[Answer],
         group: TaskGroup,
     ) -> None:
-        """Find the answer to a job whose executor is silent or replaced."""
+        """Ask the journal while the executor is silent or replaced, until it is fenced.
+
+        Then append the answer to `answers` and cancel `group`.
+        """
         timing = self._config.timing
         while True:
             await self._clock.sleep(timing.retry_after / 2)
@@ -126,7 +132,7 @@
                 return
 
     def fenced_answer(self, job: JobId, reply: JournalReply, task_count: int) -> Answer:
-        """Return what is told of a job whose executor is fenced."""
+        """Return the answer to a job whose executor is fenced."""
         if reply.answered is not None:
             return Answer(
                 key=job.key,
@@ -135,14 +141,17 @@
                 committed=reply.answered.outcome,
                 digest=reply.answered.digest,
             )
-        # Guards against contradicting an answer that was committed by replicas which
-        # are lost: until the key expires nothing final is said.
+        # A lost replica may hold a committed answer. So that no other answer can
+        # contradict it, nothing final is returned until the key expires.
         if reply.in_doubt:
             return self._not_yet_known(job, Reason.JOURNAL_IN_DOUBT)
         return may_have_run(job.key, Reason.EXECUTOR_FENCED, task_count)
 
     async def to_home(self, key: Key, message: JobMessage, wait: timedelta) -> Answer:
-        """Return the answer of a host in the key's home data centre."""
+        """Return the answer of a host in the key's home data centre.
+
+        The executor of a minted key is tried first.
+        """
         hosts = self._membership.listed_in(home_of(key))
         self._random.shuffle(hosts)
         if isinstance(key, MintedKey) and host_of(key.executor) in hosts:
@@ -180,7 +189,7 @@
         reply = await self._peers.call(host, receiver, message, timeout)
         if isinstance(reply, AnswerReply):
             return reply.answer
-        raise PeerError(f"{host} gave another reply than an answer")
+        raise PeerError(f"unexpected reply from {host}")
 
     def _not_yet_known(self, job: JobId, reason: Reason) -> Answer:
         return not_yet_known(job.key, reason, self._config.timing.retry_after_ms)
--- a/src/brasstray/entry/heartbeats.py
+++ b/src/brasstray/entry/heartbeats.py
@@ -26,7 +26,7 @@
 
 
 class Heartbeats:
-    """Run one task per peer that beats, and one that reads the platform's list."""
+    """Send heartbeats to each listed peer, and refresh the platform's list of hosts."""
 
     def __init__(
         self,
@@ -53,14 +53,14 @@
         self._holdings_at = timedelta(0)
 
     def drain(self) -> None:
-        """Tell peers from now on that this host leaves."""
+        """Report this host as draining in all further heartbeats."""
         self._draining = True
 
     def build(self, receiver: IncarnationId | None) -> Heartbeat:
-        """Return this host's heartbeat for `receiver`, if it is known who that is.
+        """Return this host's heartbeat for `receiver`, which may be unknown.
 
-        It holds the credits that the receiver counts, and only those, so that it does
-        not grow with the fleet.
+        It reports only the credits that the receiver reconciles, so that its size does
+        not grow with the number of minions.
         """
         leader = self._journal_service.leader
         return Heartbeat(
@@ -82,7 +82,7 @@
         return self._holdings.get(receiver, {})
 
     async def run(self) -> None:
-        """Follow the list and beat to every listed peer."""
+        """Refresh the list of hosts and send heartbeats to every listed peer."""
         async with anyio.create_task_group() as group:
             while True:
                 for host in await self._refresh_hosts():
@@ -120,9 +120,9 @@
                 await self._clock.sleep(self._membership.heartbeat_interval)
 
     def _is_initiator(self, host: HostName) -> bool:
-        # One of two hosts calls and the reply tells of the other, which halves the
-        # messages. The other calls too when it has not heard the first for a while:
-        # their lists may differ.
+        # Of two hosts only one sends heartbeats, and the reply carries the other's,
+        # which halves the number of messages. The other host sends too when it has not
+        # heard from the first for a while, since their lists may differ.
         if host > self._config.host:
             return True
         limit = 2 * self._membership.heartbeat_interval
@@ -138,7 +138,7 @@
             self.receive(reply)
 
     def receive(self, heartbeat: Heartbeat) -> None:
-        """Take note of a peer's heartbeat, or of its reply to one."""
+        """Process a peer's heartbeat, or its reply to one."""
         if data_centre_of(heartbeat.sender) == self._config.data_centre:
             self._membership.record_heartbeat(heartbeat)
             self._pool.record_peer_ejections(heartbeat.ejected)
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -1,4 +1,4 @@
-"""Run the jobs whose executor is this incarnation, and have their answers committed."""
+"""Run the jobs whose executor is this incarnation, and commit their answers."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class JobRunner:
-    """Accept each job once, run it, and hold its answer."""
+    """Accept each job once, run it, and keep its answer."""
 
     def __init__(
         self,
@@ -54,11 +54,11 @@
 
     @property
     def draining(self) -> bool:
-        """Tell whether no more jobs are accepted."""
+        """Return whether no more jobs are accepted."""
         return self._draining
 
     def use_task_group(self, group: TaskGroup) -> None:
-        """Run jobs in `group` from now on."""
+        """Run jobs as tasks of `group`; called once, before the first submission."""
         self._context = DispatchContext(
             group,
             self._pool,
@@ -71,11 +71,11 @@
         )
 
     def drain(self) -> None:
-        """Accept no more jobs."""
+        """Stop accepting jobs."""
         self._draining = True
 
     def find(self, job: JobId) -> JobRun | None:
-        """Return the run of `job`, if this incarnation accepted it."""
+        """Return the run of `job`, or None if this incarnation does not keep one."""
         return self._executions.get(job)
 
     async def submit(
@@ -86,9 +86,9 @@
         wait: timedelta,
         table_rejection: Answer | None,
     ) -> Answer:
-        """Return the answer to a job that only this incarnation may run.
+        """Return the answer to a job whose executor is this incarnation.
 
-        `table_rejection` is the refusal that the table asks for if the job is new.
+        `table_rejection` is returned if the job is new and the table does not admit it.
         """
         run = self._executions.get(job)
         if run is None:
@@ -101,7 +101,7 @@
         return await self.wait_for(run, wait)
 
     async def wait_for(self, run: JobRun, wait: timedelta) -> Answer:
-        """Return the answer of `run`, or that it is not known within `wait`."""
+        """Wait up to `wait` for the answer of `run`; else return that it is running."""
         answer = await run.answer(wait)
         if answer is not None:
             return answer
@@ -142,7 +142,10 @@
         return row.weight if row is not None else 1.0
 
     async def _commit(self, run: JobRun, answer: Answer) -> Answer:
-        """Return `answer` once no host can tell another, or the one others tell."""
+        """Commit `answer` to the journal and return the answer that all hosts give.
+
+        That is `answer`, unless the executor was fenced or the key was forgotten first.
+        """
         assert answer.digest is not None
         message = RecordAnswer(
             wanted=Answered(
@@ -161,9 +164,9 @@
             if reply.answered is not None:
                 return answer
             if reply.fenced:
-                # Guards against two answers to one job when this host was taken for
-                # dead and goes on: others tell "failed" from the fence on, and the
-                # journal takes no answer after it, so this host tells the same.
+                # This host was presumed dead and fenced, but still runs. Other hosts
+                # answer "failed" since then, and the journal accepts no later answer.
+                # So this host must answer the same, or one job has two answers.
                 return may_have_run(run.job.key, Reason.EXECUTOR_FENCED, run.task_count)
             if reply.forgotten:
                 return may_have_run(run.job.key, Reason.KEY_EXPIRED, run.task_count)
@@ -173,7 +176,7 @@
 
 
 def key_conflict(job: JobId) -> Answer:
-    """Return the answer to a key that was used with other content."""
+    """Return the refusal of a key that was used before with other content."""
     detail = "the key was used with other content; this content was not run"
     return refused(job.key, Reason.KEY_CONFLICT, detail)
 
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -1,4 +1,4 @@
-"""Find out who may run a job, and run it here or pass it on."""
+"""Determine the executor of a job, and run the job here or forward it."""
 
 from __future__ import annotations
 
@@ -39,11 +39,11 @@
 
 
 class JobService:
-    """Serve submissions, fetches and cancellations, whichever host they reach.
+    """Handle submissions, fetches and cancellations on any entry host.
 
-    One incarnation may start a job's tasks: the one that a minted key names, or the
-    one that the home's journal bound an own key to. Every other host only passes on,
-    or tells what the journal has.
+    Only the executor may start a job's tasks: the incarnation that a minted key names,
+    or that the journal of the home data centre has bound an own key to. All other
+    hosts forward the message, or answer from the journal.
     """
 
     def __init__(
@@ -64,7 +64,7 @@
         self._random = dependencies.random
 
     def mint(self) -> MintedKey:
-        """Return a key that only this incarnation can run."""
+        """Return a new key whose executor is this incarnation."""
         lifetime = self._config.timing.journal.key_lifetime
         return mint_key(
             self._config.incarnation, self._clock.now(), lifetime, self._random
@@ -78,7 +78,7 @@
         wait: timedelta,
         hops: int = 0,
     ) -> Answer:
-        """Return the answer to `request`, or what can be said of it within `wait`."""
+        """Submit `request`; return its answer, or what is known of it after `wait`."""
         if not self._tables.ready:
             return self._not_yet_known(None, Reason.STARTING)
         rejection = self._check_request(request)
@@ -124,7 +124,7 @@
     def _check_key(self, key: Key, request: JobRequest) -> Answer | None:
         time_left = key.expires - self._clock.now()
         if time_left <= timedelta(0):
-            # Nothing is remembered of an expired key, so it may have run before.
+            # Expired keys are forgotten, so a job with this key may have run before.
             return may_have_run(key.text(), Reason.KEY_EXPIRED, len(request.tasks))
         max_lifetime = self._config.timing.journal.key_lifetime
         if time_left > max_lifetime:
@@ -145,8 +145,8 @@
             executor = key.executor
         else:
             if rejection is not None:
-                # Guards against "not run" for a job that was accepted before the table
-                # changed: only a key that the journal does not know is refused.
+                # The job may have been accepted before the table changed. So it is
+                # refused as not run only if the journal does not know its key.
                 known_executor = await self._executor_of(key, job)
                 if isinstance(known_executor, Answer):
                     key_is_unknown = known_executor.reason is Reason.UNKNOWN_KEY
@@ -189,7 +189,7 @@
     async def fetch(
         self, caller: CallerName, key_text: str, wait: timedelta, hops: int = 0
     ) -> Answer:
-        """Return the answer to a job submitted before, as far as it is known."""
+        """Return the answer to an earlier job, or what is known of it after `wait`."""
         match parse_key(key_text):
             case Ok(key):
                 job = JobId(caller=caller, key=key.text())
@@ -199,7 +199,7 @@
                 return refused(None, Reason.BAD_REQUEST, f"key: {detail}")
 
     async def cancel(self, caller: CallerName, key_text: str, hops: int = 0) -> Answer:
-        """Stop a job's starts and return its answer."""
+        """Stop starting the job's tasks and return its answer."""
         match parse_key(key_text):
             case Ok(key):
                 cancel = Cancel(job=JobId(caller=caller, key=key.text()), hops=hops + 1)
--- a/src/brasstray/entry/journal_client.py
+++ b/src/brasstray/entry/journal_client.py
@@ -1,4 +1,4 @@
-"""Ask the data centre's leader, wherever it runs."""
+"""Send requests to the leader of the data centre's journal."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class JournalClient:
-    """Repeat an idempotent question until a leader replies."""
+    """Repeat an idempotent request until a leader replies."""
 
     def __init__(
         self,
@@ -38,8 +38,8 @@
     async def request(self, message: Bind | RecordAnswer | LookUp) -> JournalReply:
         """Return the leader's reply.
 
-        Raise JournalUnreachableError after the journal patience; the leader may then
-        have done what was asked. Asking again is safe, since the first record stands.
+        Raise JournalUnreachableError after the journal timeout; the leader may then
+        have executed the request. Repeating it is safe, since the first record wins.
         """
         deadline = self._clock.monotonic() + self._config.timing.journal_timeout
         while self._clock.monotonic() < deadline:
@@ -47,7 +47,9 @@
             if isinstance(reply, JournalReply):
                 return reply
             await self._clock.sleep(self._config.timing.journal_retry_interval)
-        raise JournalUnreachableError(f"no leader of {self._config.data_centre}")
+        raise JournalUnreachableError(
+            f"no leader of {self._config.data_centre} replied"
+        )
 
     async def _request_once(
         self, message: Bind | RecordAnswer | LookUp
--- a/src/brasstray/entry/journal_service.py
+++ b/src/brasstray/entry/journal_service.py
@@ -1,4 +1,4 @@
-"""Answer what hosts ask of the journal, while this host leads it."""
+"""Handle journal requests of entry hosts while this host leads the journal."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class JournalService:
-    """Put messages to the leader that runs on this host, if one does."""
+    """Pass requests to the leader on this host, or refuse them if there is none."""
 
     def __init__(self, config: EntryConfig, membership: Membership) -> None:
         self._config = config
@@ -35,20 +35,20 @@
 
     @property
     def leader(self) -> Leader | None:
-        """Return the leader that runs on this host, unless a later term is known."""
+        """Return the leader on this host, or None if a later term is known."""
         leader = self._leader
         if leader is None or self._membership.term > leader.writer.term:
             return None
         return leader
 
     def set_leader(self, leader: Leader | None) -> None:
-        """Begin or end leading."""
+        """Set the leader when a term begins on this host, None when it ends."""
         self._leader = leader
 
     async def handle(
         self, message: Bind | RecordAnswer | LookUp
     ) -> JournalReply | JournalRefusal:
-        """Return what the journal says, or that it can't be said here and now."""
+        """Return the journal's reply, or a refusal if this host cannot give one now."""
         leader = self.leader
         if leader is None:
             return JournalRefusal(leads=False)
@@ -106,7 +106,8 @@
         )
 
     def _is_presumed_dead(self, executor: IncarnationId) -> bool:
-        # Wrong suspicion costs the executor its answers, never a second start.
+        # A live executor that is fenced by mistake loses its answers, but no task is
+        # started twice.
         if executor == self._config.incarnation:
             return False
         if self._membership.is_replaced(executor):
--- a/src/brasstray/entry/member.py
+++ b/src/brasstray/entry/member.py
@@ -13,7 +13,11 @@
 
 @dataclass
 class Member:
-    """Hold an incarnation, its last sign of life, its state and its credits."""
+    """Hold what the last heartbeat of a host reported, and when it arrived.
+
+    `last_heard` is a monotonic time; `holdings` are the host's credits by minion, for
+    the minions that this host reconciles.
+    """
 
     host: HostName
     incarnation: IncarnationId
--- a/src/brasstray/entry/membership.py
+++ b/src/brasstray/entry/membership.py
@@ -1,4 +1,4 @@
-"""Know which entry hosts live and which leads the data centre's journal."""
+"""Track which entry hosts are live and which one leads the journal."""
 
 from __future__ import annotations
 
@@ -22,10 +22,10 @@
 
 
 class Membership:
-    """Join the platform's lagging list with what peers say of themselves.
+    """Combine the platform's list, which lags, with the heartbeats of peers.
 
-    Two hosts may believe in different members. Nothing that must hold depends on
-    it: members are only guesses at whom to ask, and the journal settles the rest.
+    Hosts may disagree on the members. Safety does not depend on them: they only tell
+    which host to contact first, and the journal decides.
     """
 
     def __init__(self, config: EntryConfig, clock: Clock) -> None:
@@ -40,28 +40,31 @@
 
     @property
     def term(self) -> int:
-        """Return the latest term heard of."""
+        """Return the latest known term."""
         return self._term
 
     @property
     def leader(self) -> IncarnationId | None:
-        """Return the leader of the latest term heard of."""
+        """Return the leader of the latest known term, or None if it has ended."""
         return self._leader
 
     @property
     def heartbeat_interval(self) -> timedelta:
-        """Return how often two hosts exchange heartbeats; less often in a crowd."""
+        """Return the interval of heartbeats between two hosts.
+
+        It grows with the number of peers beyond FULL_RATE_PEERS.
+        """
         slowdown = len(self.listed_in(self._config.data_centre)) / FULL_RATE_PEERS
         return self._config.timing.heartbeat * max(1.0, slowdown)
 
     @property
     def suspect_after(self) -> timedelta:
-        """Return after how long a silence a host is taken for gone."""
+        """Return the length of silence after which a host is suspected."""
         minimum = self._config.timing.suspect_after
         return max(minimum, MAX_MISSED_HEARTBEATS * self.heartbeat_interval)
 
     def listed_in(self, data_centre: DataCentreName) -> list[HostName]:
-        """Return the listed entry hosts of `data_centre` but this one."""
+        """Return the listed entry hosts of `data_centre` except this one."""
         return [
             name
             for name, host in self._listed.items()
@@ -69,15 +72,15 @@
         ]
 
     def listing(self, host: HostName) -> ListedHost | None:
-        """Return the platform's entry for `host`."""
+        """Return the platform's list entry for `host`, or None."""
         return self._listed.get(host)
 
     def update_hosts(self, listed: dict[HostName, ListedHost]) -> None:
-        """Take over the platform's list of entry hosts."""
+        """Replace the list of entry hosts by the platform's current one."""
         self._listed = listed
 
     def record_heartbeat(self, heartbeat: Heartbeat) -> None:
-        """Take note of a peer's heartbeat or of its reply to one."""
+        """Record a peer's heartbeat or its reply to one."""
         self.record_leader(heartbeat.term, heartbeat.leader)
         host = host_of(heartbeat.sender)
         self._members[host] = Member(
@@ -91,7 +94,7 @@
         )
 
     def record_leader(self, term: int, leader: IncarnationId | None) -> None:
-        """Believe the leader of the latest term."""
+        """Record the leader of `term` if the term is later than the known one."""
         if leader is None or term <= self._term:
             return
         if data_centre_of(leader) == self._config.data_centre:
@@ -99,17 +102,20 @@
             self._leader_recorded_at = self._clock.monotonic()
 
     def clear_leader(self, incarnation: IncarnationId) -> None:
-        """Forget that `incarnation` leads."""
+        """Clear the leader if it is `incarnation`."""
         if self._leader == incarnation:
             self._leader = None
 
     def live(self) -> list[Member]:
-        """Return the other hosts of this data centre heard of late, longest known."""
+        """Return the other hosts of this data centre that are not suspected.
+
+        Those known for longest come first.
+        """
         limit = self.suspect_after
         return [m for m in self._members.values() if self._silence(m) <= limit]
 
     def is_leader_live(self) -> bool:
-        """Tell whether the leader was heard of late, or time to hear it is left."""
+        """Return whether the leader is not suspected, or it is too early to tell."""
         if self._leader == self._config.incarnation:
             return True
         limit = self.suspect_after
@@ -118,31 +124,31 @@
         return self._clock.monotonic() - self._leader_recorded_at <= limit
 
     def hears_half(self) -> bool:
-        """Tell whether at least half of the data centre's listed hosts are heard."""
+        """Return whether at least half of the listed hosts, with this one, are live."""
         listed = self.listed_in(self._config.data_centre)
         return 2 * (len(self.live()) + 1) >= len(listed) + 1
 
     def incarnation_silence(self, incarnation: IncarnationId) -> timedelta:
-        """Return for how long `incarnation` was not heard."""
+        """Return the time since the last heartbeat of `incarnation`."""
         member = self._members.get(host_of(incarnation))
         if member is None or member.incarnation != incarnation:
             return self._clock.monotonic() - self._started
         return self._silence(member)
 
     def host_silence(self, host: HostName) -> timedelta:
-        """Return for how long no incarnation on `host` was heard."""
+        """Return the time since the last heartbeat of any incarnation on `host`."""
         member = self._members.get(host)
         if member is None:
             return self._clock.monotonic() - self._started
         return self._silence(member)
 
     def incarnation_on(self, host: HostName) -> IncarnationId | None:
-        """Return the incarnation that was last heard on `host`."""
+        """Return the incarnation on `host` that last sent a heartbeat."""
         member = self._members.get(host)
         return member.incarnation if member is not None else None
 
     def is_replaced(self, incarnation: IncarnationId) -> bool:
-        """Tell whether another incarnation speaks for the host of `incarnation`."""
+        """Return whether a different incarnation runs on the host of `incarnation`."""
         member = self._members.get(host_of(incarnation))
         return member is not None and member.incarnation != incarnation
 
--- a/src/brasstray/entry/peer_handler.py
+++ b/src/brasstray/entry/peer_handler.py
@@ -1,4 +1,4 @@
-"""Answer the messages of other entry hosts."""
+"""Handle messages from other entry hosts."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class PeerHandler:
-    """Hand each message to the part of the host that it concerns."""
+    """Dispatch each message to the component that handles it."""
 
     def __init__(
         self,
--- a/src/brasstray/entry/peer_replicas.py
+++ b/src/brasstray/entry/peer_replicas.py
@@ -1,4 +1,4 @@
-"""Reach replicas of the journal through the peers."""
+"""Access the replicas of the journal on other entry hosts."""
 
 from __future__ import annotations
 
@@ -26,7 +26,10 @@
 
 
 class PeerReplicas:
-    """Call the hosts that hold copies; this host's own copies need no call."""
+    """Call the hosts that hold copies of journal records.
+
+    Fencing includes this host's own replica, which needs no call.
+    """
 
     def __init__(
         self,
@@ -43,17 +46,17 @@
     async def hold(
         self, replica: IncarnationId, term: int, copies: dict[int, Record | None]
     ) -> bool:
-        """Return whether `replica` keeps `copies`; False if `term` is fenced there."""
+        """Store `copies` at `replica`; return False if `term` is fenced there."""
         numbers, records = list(copies), list(copies.values())
         reply = await self._call(
             replica, HoldCopies(term=term, numbers=numbers, records=records)
         )
         if not isinstance(reply, HoldReply):
-            raise ReplicaUnreachableError(f"{replica} gave another reply")
+            raise ReplicaUnreachableError(f"unexpected reply from {replica}")
         return reply.held
 
     async def drop(self, replica: IncarnationId, term: int, below: int) -> None:
-        """Let `replica` forget what is flushed."""
+        """Delete the copies below number `below`, which are flushed, at `replica`."""
         await self._call(replica, DropCopies(term=term, below=below))
 
     async def fence(self, replica: IncarnationId, term: int) -> list[Record] | None:
@@ -62,11 +65,11 @@
             return self._replica.fence(term)
         reply = await self._call(replica, FenceTerm(term=term))
         if not isinstance(reply, FenceReply):
-            raise ReplicaUnreachableError(f"{replica} gave another reply")
+            raise ReplicaUnreachableError(f"unexpected reply from {replica}")
         return reply.records
 
     def live(self) -> list[IncarnationId]:
-        """Return the other hosts of the data centre that can be replicas."""
+        """Return the other live hosts of the data centre that are not draining."""
         live = self._membership.live()
         return [member.incarnation for member in live if not member.draining]
 
--- a/src/brasstray/entry/service.py
+++ b/src/brasstray/entry/service.py
@@ -1,4 +1,4 @@
-"""Describe a service that jobs can ask for."""
+"""Describe a service that jobs can request."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class Service:
-    """Hold a service's name and whether its jobs may be marked repeatable."""
+    """Hold a service's name, and whether its jobs may be marked repeatable."""
 
     name: ServiceName
     repeatable: bool
--- a/src/brasstray/entry/surroundings.py
+++ b/src/brasstray/entry/surroundings.py
@@ -1,4 +1,4 @@
-"""Join what an entry host is given from outside."""
+"""Group the external interfaces that are injected into an entry host."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 @dataclass(frozen=True)
 class Surroundings:
-    """Hold the interfaces that decisions reach the outside by."""
+    """Hold the clock, the random generator and the interfaces to other systems."""
 
     clock: Clock
     random: Random
--- a/src/brasstray/entry/table_cache.py
+++ b/src/brasstray/entry/table_cache.py
@@ -1,4 +1,4 @@
-"""Hold the table that is in force on this host, and learn of newer ones."""
+"""Cache the operators' table on this host, and fetch newer versions."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class TableCache:
-    """Take every newer version that is heard of, and never an older one.
+    """Cache the newest known version of the table; never replace it by an older one.
 
-    The leader of the data centre reads the platform; the others hear the version in
-    heartbeats and ask whoever has it. A host that has just started knows no version:
-    it serves nobody until the platform or a peer has told it one.
+    The leader of the data centre reads the table from the platform. Other hosts see
+    the version in heartbeats and fetch the table from a peer that has it. A host that
+    has just started serves no jobs until the platform or a peer has supplied a table.
     """
 
     def __init__(
@@ -55,20 +55,20 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether this host has learned which table is in force."""
+        """Return whether the platform or a peer has supplied a table."""
         return self._ready
 
     def adopt(self, table: Table) -> None:
-        """Put `table` in force if it is newer."""
-        # Guards against a peer or a store's replica that answers with an old version,
-        # and against replies that overtake one another.
+        """Use `table` from now on if it is newer than the cached version."""
+        # A peer or a replica of the store may reply with an old version, and replies
+        # may arrive out of order.
         if table.version > self._table.version:
             self._table = table
             log_message("brasstray:table", version=table.version, author=table.author)
         self._ready = True
 
     async def run(self) -> None:
-        """Look for newer versions until cancelled."""
+        """Check for newer versions until cancelled."""
         while True:
             if not self._ready or self._journal_service.leader is not None:
                 await self._read_store()
@@ -100,7 +100,7 @@
             self.adopt(reply.table)
 
     async def change(self, wanted: Table) -> Table:
-        """Make `wanted` the table, in force here at once and elsewhere in seconds.
+        """Store `wanted` as the new table, used here at once and elsewhere in seconds.
 
         Raise TableConflictError or TableUnavailableError.
         """
@@ -109,11 +109,11 @@
         return changed
 
     async def history(self) -> list[Table]:
-        """Return every version, oldest first; raise TableUnavailableError."""
+        """Return all versions, oldest first; raise TableUnavailableError."""
         return await self._store.read()
 
     async def versions(self) -> dict[str, int | None]:
-        """Return the version in force on each listed host; None if it is silent."""
+        """Return the version that each listed host uses; None if it does not reply."""
         versions_by_host: dict[str, int | None] = {
             self._config.host: self._table.version
         }
--- a/src/brasstray/entry/timing.py
+++ b/src/brasstray/entry/timing.py
@@ -1,4 +1,4 @@
-"""Hold the intervals that an entry host works by."""
+"""Define the intervals and timeouts of an entry host."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class EntryTiming:
-    """Set how often hosts look at one another; none affects safety."""
+    """Configure intervals and timeouts; safety depends on none of them."""
 
     heartbeat: timedelta = timedelta(milliseconds=500)
     peer_timeout: timedelta = timedelta(seconds=1)
@@ -33,7 +33,7 @@
 
     @property
     def retry_after_ms(self) -> int:
-        """Return when callers are told to ask again, in milliseconds."""
+        """Return the delay after which callers are told to retry, in milliseconds."""
         return self.retry_after // timedelta(milliseconds=1)
 
 
--- a/tests/entry/test_differential.py
+++ b/tests/entry/test_differential.py
@@ -1,4 +1,4 @@
-"""Compare the real entry hosts with a naive dispatcher on random streams of jobs."""
+"""Compare entry hosts with a reference dispatcher on random streams of jobs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True)
 class Submission:
-    """Submit job `job` with content `content` at a host, after a pause."""
+    """Describe the submission of a job to a host, and the pause after it."""
 
     job: int
     content: int
@@ -27,7 +27,7 @@
 
 @dataclass(frozen=True)
 class Fault:
-    """Do something to a host before submission number `before`."""
+    """Describe a fault of a host, injected before submission number `before`."""
 
     kind: str
     host: int
@@ -54,7 +54,7 @@
 
 
 class ReferenceDispatcher:
-    """Run each key once, in one process that never fails."""
+    """Run the job of each key once, in a single process that never fails."""
 
     def __init__(self):
         self._contents = {}
--- a/tests/entry/test_limits.py
+++ b/tests/entry/test_limits.py
@@ -1,4 +1,4 @@
-"""Check deadlines, overload and waves of cancellations."""
+"""Test deadlines, overload and mass cancellations."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 def misreported_tasks(answer, starts, key):
-    """Return the tasks of which the answer says something untrue."""
+    """Return the indices of tasks whose reported state contradicts their starts."""
     counts = {
         int(task.rsplit("/", 1)[1]): n for task, n in starts.items() if key in task
     }
@@ -33,10 +33,10 @@
 def test_a_deadline_ends_a_job_and_reports_each_task_correctly(
     play, tasks, run_ms, deadline_ms, done, not_run
 ):
-    """A job cannot be done by its deadline.
+    """A job misses its deadline: it has too many tasks for the slots, or a long one.
 
-    At the deadline, and not later, the caller is told what was done, what was not run
-    and what may have run. Cause: more work than slots, or a task that is too long.
+    At the deadline, and not later, the answer must report which tasks were done, which
+    were not run and which may have run.
     """
 
     async def scenario(system):
@@ -56,10 +56,10 @@
 
 
 def test_an_overloaded_host_refuses_and_the_key_stays_usable(play, monkeypatch):
-    """A host has as many jobs as it may; one more comes.
+    """A burst of jobs reaches the limit of a host, which must refuse the next one.
 
-    It is refused as not run, with when to come back, and then the same key runs. Cause:
-    a burst; the binding stays, since the executor knows that it has not run the job.
+    The refusal says when to retry, and a retry with the same key then runs the job. The
+    key stays bound to the executor, which knows that it has not run the job.
     """
 
     async def scenario(system):
@@ -85,10 +85,10 @@
 
 
 def test_mass_cancellation_stops_starts_and_reports_each_task_correctly(play):
-    """An auditor changes a threshold while 400 draws wait; all are cancelled at once.
+    """One caller cancels 400 waiting jobs with thousands of tasks at once.
 
-    No draw starts another task, each is answered within a moment, and what is said of
-    each task is true. Cause: one change of mind, thousands of tasks.
+    No job may start another task, all must be answered within a second, and the state
+    reported of each task must be correct.
     """
 
     async def scenario(system):
--- a/tests/entry/test_submit.py
+++ b/tests/entry/test_submit.py
@@ -1,4 +1,4 @@
-"""Check the plain life of jobs, without failures."""
+"""Test submissions, refusals and repeated keys without failures."""
 
 from __future__ import annotations
 
