--- a/src/brasstray/dispatch/minion_pool.py
+++ b/src/brasstray/dispatch/minion_pool.py
@@ -233,14 +233,14 @@
             self._idle.setdefault(load.listed.name, load)
 
     def _assign_slots(self) -> None:
-        full: set[ServiceName] = set()
+        exhausted: set[ServiceName] = set()
         for waiter in sorted(self._waiters, key=self._sort_key):
             service = waiter.job.service
-            if service in full:
+            if service in exhausted:
                 continue
             load = self._select_minion(service)
             if load is None:
-                full.add(service)
+                exhausted.add(service)
                 continue
             load.outstanding += 1
             self._update_idle(load)
--- a/src/brasstray/entry/heartbeats.py
+++ b/src/brasstray/entry/heartbeats.py
@@ -102,8 +102,8 @@
         self._membership.update_hosts(entries)  # type: ignore[arg-type]
         self._pool.update(self._local_minions(hosts))
         listed = self._membership.listed_in(self._config.data_centre)
-        for host_name in [host for host in self._peer_scopes if host not in listed]:
-            self._peer_scopes.pop(host_name).cancel()
+        for unlisted in [host for host in self._peer_scopes if host not in listed]:
+            self._peer_scopes.pop(unlisted).cancel()
         return listed
 
     def _local_minions(self, hosts: list[ListedHost]) -> list[ListedHost]:
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -147,10 +147,10 @@
             if rejection is not None:
                 # The job may have been accepted before the table changed. So it is
                 # refused as not run only if the journal does not know its key.
-                known_executor = await self._executor_of(key, job)
-                if isinstance(known_executor, Answer):
-                    key_is_unknown = known_executor.reason is Reason.UNKNOWN_KEY
-                    return rejection if key_is_unknown else known_executor
+                lookup = await self._executor_of(key, job)
+                if isinstance(lookup, Answer):
+                    key_is_unknown = lookup.reason is Reason.UNKNOWN_KEY
+                    return rejection if key_is_unknown else lookup
             if self._runner.draining and self._runner.find(job) is None:
                 return await self._forwarder.to_peer(submit, wait)
             bound = await self._bind(job, key, request)
@@ -221,10 +221,10 @@
             return await self._runner.wait_for(run, wait)
         if key.expires <= self._clock.now():
             return may_have_run(job.key, Reason.KEY_EXPIRED, 0)
-        found = await self._executor_of(key, job)
-        if isinstance(found, Answer):
-            return found
-        executor, count = found
+        lookup = await self._executor_of(key, job)
+        if isinstance(lookup, Answer):
+            return lookup
+        executor, count = lookup
         if executor == self._config.incarnation:
             return self._not_yet_known(job.key, Reason.UNKNOWN_KEY)
         return await self._forwarder.to_executor(key, executor, message, wait, count)
--- a/src/brasstray/entry/journal_service.py
+++ b/src/brasstray/entry/journal_service.py
@@ -35,7 +35,7 @@
 
     @property
     def leader(self) -> Leader | None:
-        """Return the leader on this host, or None if a later term is known."""
+        """Return this host's leader; None if it has none or knows of a later term."""
         leader = self._leader
         if leader is None or self._membership.term > leader.writer.term:
             return None
