--- a/src/brasstray/dispatch/dispatch.py
+++ b/src/brasstray/dispatch/dispatch_context.py
@@ -1,4 +1,4 @@
-"""Join what all jobs of an entry host run with."""
+"""Group the collaborators that all job runs of an entry host share."""
 
 from __future__ import annotations
 
@@ -19,8 +19,8 @@
 
 
 @dataclass(frozen=True)
-class Dispatch:
-    """Hold the slots, the way to minions, and the group that starts run in."""
+class DispatchContext:
+    """Hold the collaborators of a job run; starts run as tasks in `group`."""
 
     group: TaskGroup
     pool: MinionPool
@@ -29,7 +29,7 @@
     random: Random
     timing: DispatchTiming
     metrics: Metrics
-    retries: RetryBudget
+    retry_budget: RetryBudget
 
 
-__all__ = ["Dispatch"]
+__all__ = ["DispatchContext"]
--- a/src/brasstray/dispatch/job_run.py
+++ b/src/brasstray/dispatch/job_run.py
@@ -1,4 +1,4 @@
-"""Run one job on the only incarnation that may."""
+"""Run one job on its executor, the only incarnation that may start its tasks."""
 
 from __future__ import annotations
 
@@ -23,21 +23,22 @@
     from pydantic import JsonValue
 
     from brasstray.dispatch.accepted_job import AcceptedJob
-    from brasstray.dispatch.dispatch import Dispatch
+    from brasstray.dispatch.dispatch_context import DispatchContext
     from brasstray.dispatch.minion_load import MinionLoad
     from brasstray.job.ids import ServiceName
     from brasstray.job.job_id import JobId
 
 
 class JobRun:
-    """Send a job's tasks, each at most once unless known not to have run.
+    """Send a job's tasks to minions and build the job's answer.
 
-    A job that may be repeated also resends tasks that may have run.
+    A task is sent again only if it is known not to have run. In a repeatable job, a
+    task that may have run is sent again as well, within the retry budget.
     """
 
-    def __init__(self, accepted: AcceptedJob, dispatch: Dispatch) -> None:
+    def __init__(self, accepted: AcceptedJob, context: DispatchContext) -> None:
         self._accepted = accepted
-        self._dispatch = dispatch
+        self._context = context
         self._digest = accepted.request.digest
         self._state = JobState.ACCEPTED
         self._tasks = [
@@ -45,9 +46,9 @@
         ]
         self._pending = deque(self._tasks)
         self._unfinished = len(self._tasks)
-        self._changed = anyio.Event()
-        self._sending = anyio.CancelScope()
-        self._gave_up: Reason | None = None
+        self._progress = anyio.Event()
+        self._send_scope = anyio.CancelScope()
+        self._stop_reason: Reason | None = None
         self._answer: Answer | None = None
         self._answered = anyio.Event()
         self._answered_at: timedelta | None = None
@@ -63,13 +64,13 @@
         return self._accepted.request.service
 
     @property
-    def number(self) -> int:
-        """Return the job's place in the order of acceptance."""
-        return self._accepted.number
+    def sequence_number(self) -> int:
+        """Return the job's position in the order of acceptance on this host."""
+        return self._accepted.sequence_number
 
     @property
     def weight(self) -> float:
-        """Return how much the job counts in the order of jobs."""
+        """Return the job's scheduling weight."""
         return self._accepted.weight
 
     @property
@@ -79,7 +80,7 @@
 
     @property
     def unsent(self) -> int:
-        """Return how many tasks wait to be sent."""
+        """Return how many tasks are queued for sending."""
         return len(self._pending)
 
     @property
@@ -94,7 +95,7 @@
 
     @property
     def state(self) -> JobState:
-        """Return how far the job has come."""
+        """Return the job's current state."""
         return self._state
 
     @property
@@ -104,137 +105,140 @@
 
     @property
     def answered_at(self) -> timedelta | None:
-        """Return when the answer was committed, by the monotonic clock."""
+        """Return the monotonic time at which the answer was committed."""
         return self._answered_at
 
     async def run(self, commit: Callable[[JobRun, Answer], Awaitable[Answer]]) -> None:
-        """Send every task, then commit the answer and let callers have it."""
+        """Send every task, commit the answer, then release it to waiting callers."""
         self._state = self._state.to(JobState.RUNNING)
-        # A forgotten key must not have a job that still runs.
-        left = min(
+        # The job must end before its key expires, since expired keys are forgotten.
+        time_left = min(
             self._accepted.request.deadline,
-            self._accepted.expires - self._dispatch.clock.now(),
+            self._accepted.expires - self._context.clock.now(),
         )
-        with self._sending:
-            with anyio.move_on_after(left.total_seconds()) as in_time:
+        with self._send_scope:
+            with anyio.move_on_after(time_left.total_seconds()) as deadline_scope:
                 await self._send_all()
-            if in_time.cancelled_caught:
-                self._gave_up = Reason.DEADLINE
+            if deadline_scope.cancelled_caught:
+                self._stop_reason = Reason.DEADLINE
         self._state = self._state.to(JobState.COMMITTING)
-        self._answer = await commit(self, self._summarize())
+        self._answer = await commit(self, self._build_answer())
         self._state = self._state.to(JobState.ANSWERED)
-        self._answered_at = self._dispatch.clock.monotonic()
+        self._answered_at = self._context.clock.monotonic()
         self._answered.set()
 
     def cancel(self) -> None:
-        """Stop starts at once; what was sent may have run."""
-        self._give_up(Reason.CANCELLED)
+        """Stop starting tasks; those already sent may still run."""
+        self._stop(Reason.CANCELLED)
 
     async def answer(self, wait: timedelta) -> Answer | None:
-        """Return the committed answer, or None if there is none within `wait`."""
+        """Wait up to `wait` for the committed answer; return None if there is none."""
         with anyio.move_on_after(wait.total_seconds()):
             await self._answered.wait()
         return self._answer
 
     def drop_results(self) -> None:
-        """Drop the results and keep only how each task ended."""
+        """Free the memory of the results and keep only each task's final state."""
         if self._answer is not None and self._answer.outcome is Outcome.COMPLETE:
             self._answer = lost_answer(self._answer)
         self._tasks, self._pending = [], deque()
 
-    def _give_up(self, reason: Reason) -> None:
+    def _stop(self, reason: Reason) -> None:
         if self._state in (JobState.ACCEPTED, JobState.RUNNING):
-            self._gave_up = self._gave_up or reason
-            self._sending.cancel()
+            self._stop_reason = self._stop_reason or reason
+            self._send_scope.cancel()
 
     async def _send_all(self) -> None:
         while self._unfinished:
             if not self._pending:
-                self._changed = anyio.Event()
-                await self._changed.wait()
+                self._progress = anyio.Event()
+                await self._progress.wait()
                 continue
-            load = await self._dispatch.pool.take(self)
+            load = await self._context.pool.acquire(self)
             if not self._pending:
-                self._dispatch.pool.give_back(load)
+                self._context.pool.release(load)
                 continue
             task = self._pending.popleft()
             task.advance(TaskState.SENT)
-            self._dispatch.group.start_soon(self._send, task, load)
+            self._context.group.start_soon(self._send, task, load)
 
     async def _send(self, task: TaskRun, load: MinionLoad) -> None:
-        """Start `task`; this goes on when the job has given up.
+        """Start `task` on the minion of `load`; not cancelled when the job stops.
 
-        Guards against a credit that is taken for idle while the task of a cancelled
-        job still fills its slot: the next start there would be refused.
+        The credit stays in use until the minion replies. If it were released when the
+        job is cancelled, the task would still fill the slot and the next start there
+        would be refused.
         """
-        around = self._dispatch
-        task.sends += 1
-        around.metrics.count_start()
+        context = self._context
+        task.send_count += 1
+        context.metrics.count_start()
         try:
-            value = await around.minions.start(
+            value = await context.minions.start(
                 load.listed,
                 TaskId(self.job, task.index),
                 task.request,
-                around.timing.task_patience,
+                context.timing.task_patience,
             )
         except MinionError as error:
-            around.metrics.count_retry(error.reason)
-            around.pool.learn(load, self.job, error.reason)
-            self._note_failure(task, error)
+            context.metrics.count_retry(error.reason)
+            context.pool.record_failure(load, self.job, error.reason)
+            self._record_failure(task, error)
         else:
-            load.health.succeed()
-            around.retries.earn()
-            self._note_success(task, value)
+            load.health.record_success()
+            context.retry_budget.deposit()
+            self._record_success(task, value)
         finally:
-            around.pool.give_back(load)
+            context.pool.release(load)
 
-    def _note_success(self, task: TaskRun, value: JsonValue) -> None:
+    def _record_success(self, task: TaskRun, value: JsonValue) -> None:
         if self._state is JobState.RUNNING:
             task.value = value
             task.advance(TaskState.DONE)
             self._unfinished -= 1
-            self._changed.set()
+            self._progress.set()
 
-    def _note_failure(self, task: TaskRun, error: MinionError) -> None:
+    def _record_failure(self, task: TaskRun, error: MinionError) -> None:
         if self._state is not JobState.RUNNING:
             return
-        if isinstance(error, TaskMayHaveRunError) and not self._may_repeat(task):
+        if isinstance(error, TaskMayHaveRunError) and not self._claim_repeat(task):
             task.advance(TaskState.MAY_HAVE_RUN)
-            self._give_up(Reason.TASK_DOUBTFUL)
+            self._stop(Reason.TASK_DOUBTFUL)
         else:
             task.advance(TaskState.PENDING)
-            self._dispatch.group.start_soon(self._retry, task)
+            self._context.group.start_soon(self._retry, task)
 
-    def _may_repeat(self, task: TaskRun) -> bool:
-        # Guards against a doubled start: a reply that never came does not tell whether
-        # the task ran, so only a job that may be repeated sends it again.
+    def _claim_repeat(self, task: TaskRun) -> bool:
+        # Without a reply it is unknown whether the task ran. Sending it again could run
+        # it twice, which only a repeatable job allows.
         if not self._accepted.request.repeatable:
             return False
-        task.repeats += 1
-        within = task.repeats <= self._dispatch.timing.repeats
-        return within and self._dispatch.retries.spend()
+        task.repeat_count += 1
+        within_limit = task.repeat_count <= self._context.timing.max_repeats
+        return within_limit and self._context.retry_budget.try_withdraw()
 
     async def _retry(self, task: TaskRun) -> None:
-        timing, random = self._dispatch.timing, self._dispatch.random
-        most = min(timing.retry_most, timing.retry_least * 2.0**task.sends)
-        await self._dispatch.clock.sleep(most * random.random())
+        timing, random = self._context.timing, self._context.random
+        max_delay = min(
+            timing.max_retry_delay, timing.min_retry_delay * 2.0**task.send_count
+        )
+        await self._context.clock.sleep(max_delay * random.random())
         self._pending.append(task)
-        self._changed.set()
+        self._progress.set()
 
-    def _summarize(self) -> Answer:
+    def _build_answer(self) -> Answer:
         for task in self._tasks:
-            task.end()
+            task.finalize()
         complete = all(task.state is TaskState.DONE for task in self._tasks)
         return Answer(
             key=self._accepted.job.key,
             outcome=Outcome.COMPLETE if complete else Outcome.FAILED,
-            reason=None if complete else self._gave_up,
+            reason=None if complete else self._stop_reason,
             tasks=[TaskReport(state=t.state, value=t.value) for t in self._tasks],
         ).with_digest()
 
 
 def lost_answer(answer: Answer) -> Answer:
-    """Return what can still be told of a complete answer whose results are gone."""
+    """Return a copy of a complete answer without its results, which were dropped."""
     return answer.model_copy(
         update={
             "outcome": Outcome.FAILED,
--- a/src/brasstray/dispatch/retry_budget.py
+++ b/src/brasstray/dispatch/retry_budget.py
@@ -1,30 +1,30 @@
-"""Bound the repeats of tasks that may have run."""
+"""Limit how often tasks that may have run are sent again."""
 
 from __future__ import annotations
 
-EARNED_PER_SUCCESS = 0.1
-MOST_SAVED = 50.0
+DEPOSIT_PER_SUCCESS = 0.1
+MAX_BALANCE = 50.0
 
 
 class RetryBudget:
-    """Allow repeats as a tenth of successes, with some saved for a bad moment.
+    """Allow one repeat per ten successes, plus a saved balance for short outages.
 
-    Guards against a retry storm: when much fails at once, repeats would double the load
-    on what is left, and keep it failing.
+    The limit prevents a retry storm: when many tasks fail at once, unlimited repeats
+    would double the load on the remaining minions and keep them failing.
     """
 
     def __init__(self) -> None:
-        self._saved = MOST_SAVED
+        self._balance = MAX_BALANCE
 
-    def earn(self) -> None:
-        """Take note of a success."""
-        self._saved = min(MOST_SAVED, self._saved + EARNED_PER_SUCCESS)
+    def deposit(self) -> None:
+        """Credit the budget for one successful task."""
+        self._balance = min(MAX_BALANCE, self._balance + DEPOSIT_PER_SUCCESS)
 
-    def spend(self) -> bool:
-        """Tell whether one more repeat is allowed, and take it."""
-        if self._saved < 1:
+    def try_withdraw(self) -> bool:
+        """Withdraw one repeat; return False if the balance does not allow it."""
+        if self._balance < 1:
             return False
-        self._saved -= 1
+        self._balance -= 1
         return True
 
 
--- a/src/brasstray/dispatch/timing.py
+++ b/src/brasstray/dispatch/timing.py
@@ -1,4 +1,4 @@
-"""Hold the intervals that jobs run by."""
+"""Define the delays and limits of job runs."""
 
 from __future__ import annotations
 
@@ -8,18 +8,22 @@
 
 @dataclass(frozen=True)
 class DispatchTiming:
-    """Set how starts are retried and how long answers are held."""
-
-    retry_least: timedelta = timedelta(milliseconds=10)
-    retry_most: timedelta = timedelta(seconds=1)
-    full_rest: timedelta = timedelta(milliseconds=20)
-    refused_rest: timedelta = timedelta(seconds=1)
-    eject_after: int = 2
-    eject_least: timedelta = timedelta(seconds=5)
-    eject_most: timedelta = timedelta(seconds=60)
-    ejected_share: float = 0.3
+    """Configure retries, backoff, ejection and the retention of results.
+
+    `full_backoff` applies to a minion that refused a start because its slots are full,
+    `failure_backoff` to one whose start failed otherwise.
+    """
+
+    min_retry_delay: timedelta = timedelta(milliseconds=10)
+    max_retry_delay: timedelta = timedelta(seconds=1)
+    full_backoff: timedelta = timedelta(milliseconds=20)
+    failure_backoff: timedelta = timedelta(seconds=1)
+    eject_after_failures: int = 2
+    min_ejection: timedelta = timedelta(seconds=5)
+    max_ejection: timedelta = timedelta(seconds=60)
+    max_ejected_share: float = 0.3
     task_patience: timedelta = timedelta(seconds=30)
-    repeats: int = 3
+    max_repeats: int = 3
     answer_hold: timedelta = timedelta(minutes=15)
 
 
--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -1,4 +1,4 @@
-"""Join the parts of an entry host."""
+"""Assemble an entry host from its components."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 from brasstray.dispatch.minion_pool import MinionPool
 from brasstray.dispatch.policies import SlotCredits
 from brasstray.entry.credit_exchange import CreditExchange
-from brasstray.entry.credit_mint import CreditMint
+from brasstray.entry.credit_reconciler import CreditReconciler
 from brasstray.entry.election import Election
 from brasstray.entry.executions import Executions
-from brasstray.entry.forwarding import Forwarding
+from brasstray.entry.forwarder import Forwarder
 from brasstray.entry.heartbeats import Heartbeats
 from brasstray.entry.job_runner import JobRunner
 from brasstray.entry.job_service import JobService
@@ -38,17 +38,21 @@
 class EntryHost:
     """Serve callers and peers on one entry host.
 
-    Everything outside is passed in. Nothing is kept beyond the process.
+    All external interfaces are injected. No state outlives the process.
     """
 
-    def __init__(self, config: EntryConfig, around: Surroundings) -> None:
+    def __init__(self, config: EntryConfig, dependencies: Surroundings) -> None:
         self._config = config
-        self._clock = clock = around.clock
-        self._metrics = around.metrics
+        self._clock = clock = dependencies.clock
+        self._metrics = dependencies.metrics
         self._membership = membership = Membership(config, clock)
         self._executions = Executions(clock, config.timing.dispatch)
         self._pool = MinionPool(
-            clock, around.random, config.timing.dispatch, config.slots, config.order
+            clock,
+            dependencies.random,
+            config.timing.dispatch,
+            config.slots,
+            config.order,
         )
         replica = Replica()
         self._journal_service = JournalService(config, membership)
@@ -56,44 +60,44 @@
             config,
             membership,
             self._journal_service,
-            TableStore(around.store),
-            around.peers,
+            TableStore(dependencies.store),
+            dependencies.peers,
             clock,
         )
         journal = JournalClient(
-            config, membership, self._journal_service, around.peers, clock
+            config, membership, self._journal_service, dependencies.peers, clock
         )
         self._runner = JobRunner(
-            config, self._executions, journal, self._pool, self._tables, around
+            config, self._executions, journal, self._pool, self._tables, dependencies
         )
         self._jobs = JobService(
             config,
             self._runner,
-            Forwarding(config, membership, journal, around),
+            Forwarder(config, membership, journal, dependencies),
             journal,
             self._tables,
-            around,
+            dependencies,
         )
         self._exchange = CreditExchange(
-            config, membership, self._pool, around.peers, clock
+            config, membership, self._pool, dependencies.peers, clock
         )
-        self._mint = CreditMint(config, membership, self._pool, clock)
+        self._reconciler = CreditReconciler(config, membership, self._pool, clock)
         self._election = Election(
             config,
             membership,
             self._journal_service,
-            Journal(around.store, config.data_centre),
-            PeerReplicas(config, membership, replica, around.peers),
-            around,
+            Journal(dependencies.store, config.data_centre),
+            PeerReplicas(config, membership, replica, dependencies.peers),
+            dependencies,
         )
         self._heartbeats = Heartbeats(
             config,
             membership,
             self._journal_service,
             self._pool,
-            self._mint,
+            self._reconciler,
             self._tables,
-            around,
+            dependencies,
         )
         self._peer_handler = PeerHandler(
             self._heartbeats,
@@ -108,17 +112,17 @@
 
     @property
     def config(self) -> EntryConfig:
-        """Return what this host was told about itself."""
+        """Return this host's configuration."""
         return self._config
 
     @property
     def jobs(self) -> JobService:
-        """Return what serves callers."""
+        """Return the service that handles callers' requests."""
         return self._jobs
 
     @property
     def membership(self) -> Membership:
-        """Return what is known of other entry hosts."""
+        """Return this host's view of the other entry hosts."""
         return self._membership
 
     @property
@@ -128,51 +132,51 @@
 
     @property
     def pool(self) -> MinionPool:
-        """Return the minions of this data centre and this host's credits."""
+        """Return the pool of this data centre's minions and this host's credits."""
         return self._pool
 
     @property
     def tables(self) -> TableCache:
-        """Return what holds the operators' table."""
+        """Return the cache of the operators' table."""
         return self._tables
 
     @property
     def journal_service(self) -> JournalService:
-        """Return what answers for the journal while this host leads."""
+        """Return the service that handles journal requests while this host leads."""
         return self._journal_service
 
     @property
     def metrics(self) -> Metrics:
-        """Return this host's counters."""
+        """Return this host's metrics."""
         return self._metrics
 
     @property
     def draining(self) -> bool:
-        """Tell whether this host accepts no more jobs."""
+        """Return whether this host is draining and accepts no more jobs."""
         return self._draining
 
     async def run(self) -> None:
         """Serve until cancelled."""
         async with anyio.create_task_group() as group:
-            self._runner.open(group)
+            self._runner.use_task_group(group)
             if isinstance(self._config.slots, SlotCredits):
                 group.start_soon(self._exchange.run)
-                group.start_soon(self._mint.run)
+                group.start_soon(self._reconciler.run)
             group.start_soon(self._heartbeats.run)
             group.start_soon(self._tables.run)
             group.start_soon(self._election.run)
-            group.start_soon(self._tidy)
+            group.start_soon(self._purge_periodically)
 
-    async def _tidy(self) -> None:
+    async def _purge_periodically(self) -> None:
         while True:
-            await self._clock.sleep(self._config.timing.forget_interval)
-            self._executions.tidy()
+            await self._clock.sleep(self._config.timing.purge_interval)
+            self._executions.purge()
 
     async def drain(self) -> int:
-        """Stop accepting, finish what runs, and return how many jobs are left.
+        """Stop accepting jobs, wait for running ones, and return how many are left.
 
-        Peers are told by heartbeat and the balancer by the health endpoint; the wait
-        is bounded by the drain limit.
+        Peers learn of it from heartbeats, the load balancer from the health endpoint.
+        The wait is limited by the drain limit.
         """
         self._draining = True
         self._runner.drain()
@@ -181,7 +185,7 @@
         while self._executions.unanswered and self._clock.monotonic() < deadline:
             log_message("brasstray:draining", jobs=self._executions.unanswered)
             await self._clock.sleep(self._config.timing.heartbeat)
-        await self._exchange.give_all_away()
+        await self._exchange.hand_over_credits()
         await self._election.withdraw()
         return self._executions.unanswered
 
--- a/src/brasstray/entry/forwarding.py
+++ b/src/brasstray/entry/forwarder.py
@@ -1,4 +1,4 @@
-"""Pass submissions, fetches and cancellations on to the host that can answer them."""
+"""Forward submissions, fetches and cancellations to a host that can answer them."""
 
 from __future__ import annotations
 
@@ -28,68 +28,75 @@
     from brasstray.job.key import Key
     from brasstray.peer.messages import JournalReply
 
-    Question = Submit | Fetch | Cancel
+    JobMessage = Submit | Fetch | Cancel
 
 MAX_HOPS = 3
 
 
-class Forwarding:
-    """Ask the executor, or a host of the key's home, and tell only what is sure."""
+class Forwarder:
+    """Forward messages to the executor, to a peer, or to the key's home data centre.
+
+    Without a reply, the answer states no outcome that may turn out to be wrong.
+    """
 
     def __init__(
         self,
         config: EntryConfig,
         membership: Membership,
         journal: JournalClient,
-        around: Surroundings,
+        dependencies: Surroundings,
     ) -> None:
         self._config = config
         self._membership = membership
         self._journal = journal
-        self._peers = around.peers
-        self._clock = around.clock
-        self._random = around.random
+        self._peers = dependencies.peers
+        self._clock = dependencies.clock
+        self._random = dependencies.random
 
     async def to_executor(
         self,
         key: Key,
         executor: IncarnationId,
-        question: Question,
+        message: JobMessage,
         wait: timedelta,
         task_count: int,
     ) -> Answer:
-        """Return the executor's answer, or what the journal says once it is fenced."""
-        job = question.job
-        found: list[Answer] = []
+        """Return the executor's answer, or the journal's if the executor is fenced."""
+        job = message.job
+        answers: list[Answer] = []
         async with anyio.create_task_group() as group:
             group.start_soon(
-                self._await_fence, job, key, executor, task_count, found, group
+                self._await_fence, job, key, executor, task_count, answers, group
             )
-            await self._call_until(executor, question, wait, found)
+            await self._call_executor(executor, message, wait, answers)
             group.cancel_scope.cancel()
-        return found[0] if found else self._later(job, Reason.EXECUTOR_UNREACHABLE)
+        return (
+            answers[0]
+            if answers
+            else self._not_yet_known(job, Reason.EXECUTOR_UNREACHABLE)
+        )
 
-    async def _call_until(
+    async def _call_executor(
         self,
         executor: IncarnationId,
-        question: Question,
+        message: JobMessage,
         wait: timedelta,
-        found: list[Answer],
+        answers: list[Answer],
     ) -> None:
-        # Guards against calling "not run" what may run: when the reply is lost, the
-        # executor may have had the message, and only it knows. Its key makes asking
-        # again harmless.
+        # When a reply is lost, the executor may have received the message, and no other
+        # host can tell. So the job must not be reported as not run. Repeating the call
+        # is safe, since the key makes it idempotent.
         deadline = self._clock.monotonic() + wait
         while True:
-            left = max(deadline - self._clock.monotonic(), timedelta(0))
+            time_left = max(deadline - self._clock.monotonic(), timedelta(0))
             try:
                 host = host_of(executor)
-                found.append(await self._call(host, executor, question, left))
+                answers.append(await self._call(host, executor, message, time_left))
                 return
             except PeerError:
-                if left <= self._config.timing.ask_again:
+                if time_left <= self._config.timing.retry_after:
                     return
-            await self._clock.sleep(self._config.timing.ask_again)
+            await self._clock.sleep(self._config.timing.retry_after)
 
     async def _await_fence(
         self,
@@ -97,19 +104,22 @@
         key: Key,
         executor: IncarnationId,
         task_count: int,
-        found: list[Answer],
+        answers: list[Answer],
         group: TaskGroup,
     ) -> None:
-        """Find the answer to a job whose executor is silent or replaced."""
+        """Ask the journal while the executor is silent or replaced, until it is fenced.
+
+        Then append the answer to `answers` and cancel `group`.
+        """
         timing = self._config.timing
         while True:
-            await self._clock.sleep(timing.ask_again / 2)
-            silence = self._membership.silent_for(executor)
+            await self._clock.sleep(timing.retry_after / 2)
+            silence = self._membership.incarnation_silence(executor)
             suspected = silence > self._membership.suspect_after
-            if not suspected and not self._membership.replaced(executor):
+            if not suspected and not self._membership.is_replaced(executor):
                 continue
             try:
-                reply = await self._journal.ask(
+                reply = await self._journal.request(
                     LookUp(
                         job=job, expires=key.expires, executor=executor, suspect=True
                     )
@@ -117,12 +127,12 @@
             except JournalUnreachableError:
                 continue
             if reply.fenced:
-                found.append(self.fenced_answer(job, reply, task_count))
+                answers.append(self.fenced_answer(job, reply, task_count))
                 group.cancel_scope.cancel()
                 return
 
     def fenced_answer(self, job: JobId, reply: JournalReply, task_count: int) -> Answer:
-        """Return what is told of a job whose executor is fenced."""
+        """Return the answer to a job whose executor is fenced."""
         if reply.answered is not None:
             return Answer(
                 key=job.key,
@@ -131,55 +141,58 @@
                 committed=reply.answered.outcome,
                 digest=reply.answered.digest,
             )
-        # Guards against contradicting an answer that was committed by replicas which
-        # are lost: until the key expires nothing final is said.
+        # A lost replica may hold a committed answer. So that no other answer can
+        # contradict it, nothing final is returned until the key expires.
         if reply.in_doubt:
-            return self._later(job, Reason.JOURNAL_IN_DOUBT)
+            return self._not_yet_known(job, Reason.JOURNAL_IN_DOUBT)
         return may_have_run(job.key, Reason.EXECUTOR_FENCED, task_count)
 
-    async def to_home(self, key: Key, question: Question, wait: timedelta) -> Answer:
-        """Return the answer of a host in the key's home data centre."""
+    async def to_home(self, key: Key, message: JobMessage, wait: timedelta) -> Answer:
+        """Return the answer of a host in the key's home data centre.
+
+        The executor of a minted key is tried first.
+        """
         hosts = self._membership.listed_in(home_of(key))
         self._random.shuffle(hosts)
         if isinstance(key, MintedKey) and host_of(key.executor) in hosts:
             hosts.remove(host_of(key.executor))
             hosts.insert(0, host_of(key.executor))
-        return await self._to_first(hosts, question, wait)
+        return await self._forward_to_first(hosts, message, wait)
 
-    async def to_another(self, question: Question, wait: timedelta) -> Answer:
+    async def to_peer(self, message: JobMessage, wait: timedelta) -> Answer:
         """Return the answer of another host of this data centre."""
         live = [m.host for m in self._membership.live() if not m.draining]
         self._random.shuffle(live)
-        return await self._to_first(live, question, wait)
+        return await self._forward_to_first(live, message, wait)
 
-    async def _to_first(
-        self, hosts: list[HostName], question: Question, wait: timedelta
+    async def _forward_to_first(
+        self, hosts: list[HostName], message: JobMessage, wait: timedelta
     ) -> Answer:
-        if question.hops <= MAX_HOPS:
+        if message.hops <= MAX_HOPS:
             for host in hosts:
                 try:
-                    return await self._call(host, None, question, wait)
+                    return await self._call(host, None, message, wait)
                 except PeerNotReachedError:
                     continue
                 except PeerError:
                     break
-        return self._later(question.job, Reason.HOME_UNREACHABLE)
+        return self._not_yet_known(message.job, Reason.HOME_UNREACHABLE)
 
     async def _call(
         self,
         host: HostName,
         receiver: IncarnationId | None,
-        question: Question,
+        message: JobMessage,
         wait: timedelta,
     ) -> Answer:
-        patience = wait + self._config.timing.pass_on_margin
-        reply = await self._peers.call(host, receiver, question, patience)
+        timeout = wait + self._config.timing.forward_margin
+        reply = await self._peers.call(host, receiver, message, timeout)
         if isinstance(reply, AnswerReply):
             return reply.answer
-        raise PeerError(f"{host} gave another reply than an answer")
+        raise PeerError(f"unexpected reply from {host}")
 
-    def _later(self, job: JobId, reason: Reason) -> Answer:
-        return not_yet_known(job.key, reason, self._config.timing.ask_again_ms)
+    def _not_yet_known(self, job: JobId, reason: Reason) -> Answer:
+        return not_yet_known(job.key, reason, self._config.timing.retry_after_ms)
 
 
-__all__ = ["Forwarding"]
+__all__ = ["Forwarder"]
--- a/src/brasstray/entry/heartbeats.py
+++ b/src/brasstray/entry/heartbeats.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from brasstray.dispatch.minion_pool import MinionPool
     from brasstray.entry.config import EntryConfig
-    from brasstray.entry.credit_mint import CreditMint
+    from brasstray.entry.credit_reconciler import CreditReconciler
     from brasstray.entry.journal_service import JournalService
     from brasstray.entry.membership import Membership
     from brasstray.entry.surroundings import Surroundings
@@ -26,7 +26,7 @@
 
 
 class Heartbeats:
-    """Run one task per peer that beats, and one that reads the platform's list."""
+    """Send heartbeats to each listed peer, and refresh the platform's list of hosts."""
 
     def __init__(
         self,
@@ -34,33 +34,33 @@
         membership: Membership,
         journal_service: JournalService,
         pool: MinionPool,
-        mint: CreditMint,
+        reconciler: CreditReconciler,
         tables: TableCache,
-        around: Surroundings,
+        dependencies: Surroundings,
     ) -> None:
         self._config = config
         self._membership = membership
         self._journal_service = journal_service
         self._pool = pool
-        self._mint = mint
+        self._reconciler = reconciler
         self._tables = tables
-        self._peers = around.peers
-        self._host_list = around.host_list
-        self._clock = around.clock
-        self._beating: dict[HostName, anyio.CancelScope] = {}
+        self._peers = dependencies.peers
+        self._host_list = dependencies.host_list
+        self._clock = dependencies.clock
+        self._peer_scopes: dict[HostName, anyio.CancelScope] = {}
         self._draining = False
         self._holdings: dict[IncarnationId, dict[str, int]] = {}
         self._holdings_at = timedelta(0)
 
     def drain(self) -> None:
-        """Tell peers from now on that this host leaves."""
+        """Report this host as draining in all further heartbeats."""
         self._draining = True
 
-    def own(self, receiver: IncarnationId | None) -> Heartbeat:
-        """Return this host's heartbeat for `receiver`, if it is known who that is.
+    def build(self, receiver: IncarnationId | None) -> Heartbeat:
+        """Return this host's heartbeat for `receiver`, which may be unknown.
 
-        It holds the credits that the receiver counts, and only those, so that it does
-        not grow with the fleet.
+        It reports only the credits that the receiver reconciles, so that its size does
+        not grow with the number of minions.
         """
         leader = self._journal_service.leader
         return Heartbeat(
@@ -69,7 +69,7 @@
             term=leader.writer.term if leader else self._membership.term,
             leader=self._config.incarnation if leader else self._membership.leader,
             table_version=self._tables.table.version,
-            held=self._pool.held,
+            held=self._pool.held_credits,
             holdings={} if receiver is None else self._holdings_for(receiver),
             ejected=self._pool.ejected,
         )
@@ -78,30 +78,32 @@
         now = self._clock.monotonic()
         if now != self._holdings_at:
             self._holdings_at = now
-            self._holdings = self._mint.holdings_by_home()
+            self._holdings = self._reconciler.holdings_by_peer()
         return self._holdings.get(receiver, {})
 
     async def run(self) -> None:
-        """Follow the list and beat to every listed peer."""
+        """Refresh the list of hosts and send heartbeats to every listed peer."""
         async with anyio.create_task_group() as group:
             while True:
-                for host in await self._read_list():
-                    if host not in self._beating:
-                        self._beating[host] = anyio.CancelScope()
-                        group.start_soon(self._beat, host, self._beating[host])
+                for host in await self._refresh_hosts():
+                    if host not in self._peer_scopes:
+                        self._peer_scopes[host] = anyio.CancelScope()
+                        group.start_soon(
+                            self._send_heartbeats, host, self._peer_scopes[host]
+                        )
                 await self._clock.sleep(self._config.timing.list_interval)
 
-    async def _read_list(self) -> list[HostName]:
+    async def _refresh_hosts(self) -> list[HostName]:
         try:
             hosts = await self._host_list.hosts()
         except StoreError:
             return []
         entries = {h.name: h for h in hosts if h.kind is HostKind.ENTRY}
-        self._membership.update_list(entries)  # type: ignore[arg-type]
+        self._membership.update_hosts(entries)  # type: ignore[arg-type]
         self._pool.update(self._local_minions(hosts))
         listed = self._membership.listed_in(self._config.data_centre)
-        for gone in [host for host in self._beating if host not in listed]:
-            self._beating.pop(gone).cancel()
+        for unlisted in [host for host in self._peer_scopes if host not in listed]:
+            self._peer_scopes.pop(unlisted).cancel()
         return listed
 
     def _local_minions(self, hosts: list[ListedHost]) -> list[ListedHost]:
@@ -109,37 +111,37 @@
         minions = (h for h in hosts if h.kind is HostKind.MINION)
         return [minion for minion in minions if minion.data_centre == here]
 
-    async def _beat(self, host: HostName, scope: anyio.CancelScope) -> None:
+    async def _send_heartbeats(self, host: HostName, scope: anyio.CancelScope) -> None:
         timing = self._config.timing
         with scope:
             while True:
-                if self._is_caller(host):
-                    await self._beat_once(host, timing.heartbeat_patience)
+                if self._is_initiator(host):
+                    await self._send_heartbeat(host, timing.peer_timeout)
                 await self._clock.sleep(self._membership.heartbeat_interval)
 
-    def _is_caller(self, host: HostName) -> bool:
-        # One of two hosts calls and the reply tells of the other, which halves the
-        # messages. The other calls too when it has not heard the first for a while:
-        # their lists may differ.
+    def _is_initiator(self, host: HostName) -> bool:
+        # Of two hosts only one sends heartbeats, and the reply carries the other's,
+        # which halves the number of messages. The other host sends too when it has not
+        # heard from the first for a while, since their lists may differ.
         if host > self._config.host:
             return True
         limit = 2 * self._membership.heartbeat_interval
-        return self._membership.silence_of(host) > limit
+        return self._membership.host_silence(host) > limit
 
-    async def _beat_once(self, host: HostName, patience: timedelta) -> None:
+    async def _send_heartbeat(self, host: HostName, timeout: timedelta) -> None:
         receiver = self._membership.incarnation_on(host)
         try:
-            reply = await self._peers.call(host, None, self.own(receiver), patience)
+            reply = await self._peers.call(host, None, self.build(receiver), timeout)
         except PeerError:
             return
         if isinstance(reply, Heartbeat):
-            self.hear(reply)
+            self.receive(reply)
 
-    def hear(self, heartbeat: Heartbeat) -> None:
-        """Take note of a peer's heartbeat, or of its reply to one."""
+    def receive(self, heartbeat: Heartbeat) -> None:
+        """Process a peer's heartbeat, or its reply to one."""
         if data_centre_of(heartbeat.sender) == self._config.data_centre:
-            self._membership.hear(heartbeat)
-            self._pool.hear_ejected(heartbeat.ejected)
+            self._membership.record_heartbeat(heartbeat)
+            self._pool.record_peer_ejections(heartbeat.ejected)
 
 
 __all__ = ["Heartbeats"]
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -1,4 +1,4 @@
-"""Run the jobs whose executor is this incarnation, and have their answers committed."""
+"""Run the jobs whose executor is this incarnation, and commit their answers."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 from typing import TYPE_CHECKING
 
 from brasstray.dispatch.accepted_job import AcceptedJob
-from brasstray.dispatch.dispatch import Dispatch
+from brasstray.dispatch.dispatch_context import DispatchContext
 from brasstray.dispatch.job_run import JobRun
 from brasstray.dispatch.retry_budget import RetryBudget
 from brasstray.entry.errors import JournalUnreachableError
@@ -31,7 +31,7 @@
 
 
 class JobRunner:
-    """Accept each job once, run it, and hold its answer."""
+    """Accept each job once, run it, and keep its answer."""
 
     def __init__(
         self,
@@ -40,42 +40,42 @@
         journal: JournalClient,
         pool: MinionPool,
         tables: TableCache,
-        around: Surroundings,
+        dependencies: Surroundings,
     ) -> None:
         self._config = config
         self._executions = executions
         self._journal = journal
         self._pool = pool
         self._tables = tables
-        self._around = around
-        self._numbers = count()
+        self._dependencies = dependencies
+        self._sequence_numbers = count()
         self._draining = False
-        self._dispatch: Dispatch | None = None
+        self._context: DispatchContext | None = None
 
     @property
     def draining(self) -> bool:
-        """Tell whether no more jobs are accepted."""
+        """Return whether no more jobs are accepted."""
         return self._draining
 
-    def open(self, group: TaskGroup) -> None:
-        """Run jobs in `group` from now on."""
-        self._dispatch = Dispatch(
+    def use_task_group(self, group: TaskGroup) -> None:
+        """Run jobs as tasks of `group`; called once, before the first submission."""
+        self._context = DispatchContext(
             group,
             self._pool,
-            self._around.minions,
-            self._around.clock,
-            self._around.random,
+            self._dependencies.minions,
+            self._dependencies.clock,
+            self._dependencies.random,
             self._config.timing.dispatch,
-            self._around.metrics,
+            self._dependencies.metrics,
             RetryBudget(),
         )
 
     def drain(self) -> None:
-        """Accept no more jobs."""
+        """Stop accepting jobs."""
         self._draining = True
 
     def find(self, job: JobId) -> JobRun | None:
-        """Return the run of `job`, if this incarnation accepted it."""
+        """Return the run of `job`, or None if this incarnation does not keep one."""
         return self._executions.get(job)
 
     async def submit(
@@ -84,53 +84,57 @@
         expires: datetime,
         request: JobRequest,
         wait: timedelta,
-        objection: Answer | None,
+        table_rejection: Answer | None,
     ) -> Answer:
-        """Return the answer to a job that only this incarnation may run.
+        """Return the answer to a job whose executor is this incarnation.
 
-        `objection` is the refusal that the table asks for if the job is new.
+        `table_rejection` is returned if the job is new and the table does not admit it.
         """
         run = self._executions.get(job)
         if run is None:
-            problem = self._check(job, expires, request) or objection
-            if problem is not None:
-                return problem
+            rejection = self._check_admission(job, expires, request) or table_rejection
+            if rejection is not None:
+                return rejection
             run = self._accept(job, expires, request)
         elif run.digest != request.digest:
-            return conflict(job)
+            return key_conflict(job)
         return await self.wait_for(run, wait)
 
     async def wait_for(self, run: JobRun, wait: timedelta) -> Answer:
-        """Return the answer of `run`, or that it is not known within `wait`."""
+        """Wait up to `wait` for the answer of `run`; else return that it is running."""
         answer = await run.answer(wait)
         if answer is not None:
             return answer
         return not_yet_known(
-            run.job.key, Reason.RUNNING, self._config.timing.ask_again_ms
+            run.job.key, Reason.RUNNING, self._config.timing.retry_after_ms
         )
 
-    def _check(
+    def _check_admission(
         self, job: JobId, expires: datetime, request: JobRequest
     ) -> Answer | None:
-        if self._executions.forgot(expires):
+        if self._executions.may_have_forgotten(expires):
             return may_have_run(job.key, Reason.KEY_EXPIRED, len(request.tasks))
         if self._draining:
             return refused(job.key, Reason.DRAINING, "ask another entry host")
         if self._executions.unanswered >= self._config.max_jobs:
             detail = f"{self._config.max_jobs} jobs run here"
             answer = refused(job.key, Reason.OVERLOADED, detail)
-            again = self._config.timing.ask_again_ms
-            return answer.model_copy(update={"retry_after_ms": again})
+            retry_after_ms = self._config.timing.retry_after_ms
+            return answer.model_copy(update={"retry_after_ms": retry_after_ms})
         return None
 
     def _accept(self, job: JobId, expires: datetime, request: JobRequest) -> JobRun:
-        assert self._dispatch is not None
+        assert self._context is not None
         accepted = AcceptedJob(
-            job, request, expires, next(self._numbers), self._weight_of(request)
+            job,
+            request,
+            expires,
+            next(self._sequence_numbers),
+            self._weight_of(request),
         )
-        run = JobRun(accepted, self._dispatch)
+        run = JobRun(accepted, self._context)
         self._executions.add(run)
-        self._dispatch.group.start_soon(run.run, self._commit)
+        self._context.group.start_soon(run.run, self._commit)
         return run
 
     def _weight_of(self, request: JobRequest) -> float:
@@ -138,7 +142,10 @@
         return row.weight if row is not None else 1.0
 
     async def _commit(self, run: JobRun, answer: Answer) -> Answer:
-        """Return `answer` once no host can tell another, or the one others tell."""
+        """Commit `answer` to the journal and return the answer that all hosts give.
+
+        That is `answer`, unless the executor was fenced or the key was forgotten first.
+        """
         assert answer.digest is not None
         message = RecordAnswer(
             wanted=Answered(
@@ -151,25 +158,27 @@
         )
         while True:
             try:
-                reply = await self._journal.ask(message)
+                reply = await self._journal.request(message)
             except JournalUnreachableError:
                 continue
             if reply.answered is not None:
                 return answer
             if reply.fenced:
-                # Guards against two answers to one job when this host was taken for
-                # dead and goes on: others tell "failed" from the fence on, and the
-                # journal takes no answer after it, so this host tells the same.
+                # This host was presumed dead and fenced, but still runs. Other hosts
+                # answer "failed" since then, and the journal accepts no later answer.
+                # So this host must answer the same, or one job has two answers.
                 return may_have_run(run.job.key, Reason.EXECUTOR_FENCED, run.task_count)
             if reply.forgotten:
                 return may_have_run(run.job.key, Reason.KEY_EXPIRED, run.task_count)
-            await self._around.clock.sleep(self._config.timing.journal_retry)
+            await self._dependencies.clock.sleep(
+                self._config.timing.journal_retry_interval
+            )
 
 
-def conflict(job: JobId) -> Answer:
-    """Return the answer to a key that was used with other content."""
+def key_conflict(job: JobId) -> Answer:
+    """Return the refusal of a key that was used before with other content."""
     detail = "the key was used with other content; this content was not run"
     return refused(job.key, Reason.KEY_CONFLICT, detail)
 
 
-__all__ = ["JobRunner", "conflict"]
+__all__ = ["JobRunner", "key_conflict"]
--- a/src/brasstray/entry/journal_client.py
+++ b/src/brasstray/entry/journal_client.py
@@ -1,4 +1,4 @@
-"""Ask the data centre's leader, wherever it runs."""
+"""Send requests to the leader of the data centre's journal."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class JournalClient:
-    """Repeat an idempotent question until a leader replies."""
+    """Repeat an idempotent request until a leader replies."""
 
     def __init__(
         self,
@@ -35,29 +35,33 @@
         self._peers = peers
         self._clock = clock
 
-    async def ask(self, message: Bind | RecordAnswer | LookUp) -> JournalReply:
+    async def request(self, message: Bind | RecordAnswer | LookUp) -> JournalReply:
         """Return the leader's reply.
 
-        Raise JournalUnreachableError after the journal patience; the leader may then
-        have done what was asked. Asking again is safe, since the first record stands.
+        Raise JournalUnreachableError after the journal timeout; the leader may then
+        have executed the request. Repeating it is safe, since the first record wins.
         """
-        deadline = self._clock.monotonic() + self._config.timing.journal_patience
+        deadline = self._clock.monotonic() + self._config.timing.journal_timeout
         while self._clock.monotonic() < deadline:
-            reply = await self._ask_once(message)
+            reply = await self._request_once(message)
             if isinstance(reply, JournalReply):
                 return reply
-            await self._clock.sleep(self._config.timing.journal_retry)
-        raise JournalUnreachableError(f"no leader of {self._config.data_centre}")
+            await self._clock.sleep(self._config.timing.journal_retry_interval)
+        raise JournalUnreachableError(
+            f"no leader of {self._config.data_centre} replied"
+        )
 
-    async def _ask_once(self, message: Bind | RecordAnswer | LookUp) -> Message | None:
+    async def _request_once(
+        self, message: Bind | RecordAnswer | LookUp
+    ) -> Message | None:
         if self._journal_service.leader is not None:
             return await self._journal_service.handle(message)
         leader = self._membership.leader
         if leader is None or leader == self._config.incarnation:
             return None
-        patience = 2 * self._config.timing.journal.commit_patience
+        timeout = 2 * self._config.timing.journal.commit_patience
         try:
-            return await self._peers.call(host_of(leader), leader, message, patience)
+            return await self._peers.call(host_of(leader), leader, message, timeout)
         except PeerError:
             return None
 
--- a/src/brasstray/entry/journal_service.py
+++ b/src/brasstray/entry/journal_service.py
@@ -1,4 +1,4 @@
-"""Answer what hosts ask of the journal, while this host leads it."""
+"""Handle journal requests of entry hosts while this host leads the journal."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 
 class JournalService:
-    """Put messages to the leader that runs on this host, if one does."""
+    """Pass requests to the leader on this host, or refuse them if there is none."""
 
     def __init__(self, config: EntryConfig, membership: Membership) -> None:
         self._config = config
@@ -35,20 +35,20 @@
 
     @property
     def leader(self) -> Leader | None:
-        """Return the leader that runs on this host, unless a later term is known."""
+        """Return this host's leader; None if it has none or knows of a later term."""
         leader = self._leader
         if leader is None or self._membership.term > leader.writer.term:
             return None
         return leader
 
     def set_leader(self, leader: Leader | None) -> None:
-        """Begin or end leading."""
+        """Set the leader when a term begins on this host, None when it ends."""
         self._leader = leader
 
     async def handle(
         self, message: Bind | RecordAnswer | LookUp
     ) -> JournalReply | JournalRefusal:
-        """Return what the journal says, or that it can't be said here and now."""
+        """Return the journal's reply, or a refusal if this host cannot give one now."""
         leader = self.leader
         if leader is None:
             return JournalRefusal(leads=False)
@@ -57,7 +57,7 @@
                 case Bind():
                     return await self._bind(leader, message)
                 case RecordAnswer():
-                    return await self._record(leader, message)
+                    return await self._record_answer(leader, message)
                 case LookUp():
                     return await self._look_up(leader, message)
         except CommitUnavailableError:
@@ -76,7 +76,9 @@
         fenced = leader.is_fenced(bound.executor)
         return JournalReply(bound=bound, answered=answered, fenced=fenced)
 
-    async def _record(self, leader: Leader, message: RecordAnswer) -> JournalReply:
+    async def _record_answer(
+        self, leader: Leader, message: RecordAnswer
+    ) -> JournalReply:
         wanted = message.wanted
         answered = await leader.answer(wanted)
         return JournalReply(
@@ -88,7 +90,11 @@
     async def _look_up(self, leader: Leader, message: LookUp) -> JournalReply:
         bound, _ = await leader.look_up(message.job)
         executor = message.executor or (bound.executor if bound else None)
-        if message.suspect and executor is not None and self._is_gone(executor):
+        if (
+            message.suspect
+            and executor is not None
+            and self._is_presumed_dead(executor)
+        ):
             await leader.fence(executor)
         bound, answered = await leader.look_up(message.job)
         return JournalReply(
@@ -99,13 +105,17 @@
             forgotten=leader.is_forgotten(message.expires),
         )
 
-    def _is_gone(self, executor: IncarnationId) -> bool:
-        # Wrong suspicion costs the executor its answers, never a second start.
+    def _is_presumed_dead(self, executor: IncarnationId) -> bool:
+        # A live executor that is fenced by mistake loses its answers, but no task is
+        # started twice.
         if executor == self._config.incarnation:
             return False
-        if self._membership.replaced(executor):
+        if self._membership.is_replaced(executor):
             return True
-        return self._membership.silent_for(executor) > self._config.timing.fence_after
+        return (
+            self._membership.incarnation_silence(executor)
+            > self._config.timing.fence_after
+        )
 
 
 __all__ = ["JournalService"]
--- a/src/brasstray/entry/peer_handler.py
+++ b/src/brasstray/entry/peer_handler.py
@@ -1,4 +1,4 @@
-"""Answer the messages of other entry hosts."""
+"""Handle messages from other entry hosts."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 class PeerHandler:
-    """Hand each message to the part of the host that it concerns."""
+    """Dispatch each message to the component that handles it."""
 
     def __init__(
         self,
@@ -64,8 +64,8 @@
         """Return the reply to a peer's message."""
         match message:
             case Heartbeat():
-                self._heartbeats.hear(message)
-                return self._heartbeats.own(message.sender)
+                self._heartbeats.receive(message)
+                return self._heartbeats.build(message.sender)
             case AskTable():
                 ready = self._tables.ready
                 return TableReply(table=self._tables.table, ready=ready)
@@ -86,9 +86,9 @@
                 return FenceReply(records=self._replica.fence(message.term))
         return Done()
 
-    async def _answer(self, question: Submit | Fetch | Cancel) -> Answer:
-        caller, key, hops = question.job.caller, question.job.key, question.hops
-        match question:
+    async def _answer(self, message: Submit | Fetch | Cancel) -> Answer:
+        caller, key, hops = message.job.caller, message.job.key, message.hops
+        match message:
             case Submit(request=request, wait_ms=wait_ms):
                 wait = timedelta(milliseconds=wait_ms)
                 return await self._jobs.submit(caller, key, request, wait, hops)
--- a/src/brasstray/entry/table_cache.py
+++ b/src/brasstray/entry/table_cache.py
@@ -1,4 +1,4 @@
-"""Hold the table that is in force on this host, and learn of newer ones."""
+"""Cache the operators' table on this host, and fetch newer versions."""
 
 from __future__ import annotations
 
@@ -23,11 +23,11 @@
 
 
 class TableCache:
-    """Take every newer version that is heard of, and never an older one.
+    """Cache the newest known version of the table; never replace it by an older one.
 
-    The leader of the data centre reads the platform; the others hear the version in
-    heartbeats and ask whoever has it. A host that has just started knows no version:
-    it serves nobody until the platform or a peer has told it one.
+    The leader of the data centre reads the table from the platform. Other hosts see
+    the version in heartbeats and fetch the table from a peer that has it. A host that
+    has just started serves no jobs until the platform or a peer has supplied a table.
     """
 
     def __init__(
@@ -55,24 +55,24 @@
 
     @property
     def ready(self) -> bool:
-        """Tell whether this host has learned which table is in force."""
+        """Return whether the platform or a peer has supplied a table."""
         return self._ready
 
     def adopt(self, table: Table) -> None:
-        """Put `table` in force if it is newer."""
-        # Guards against a peer or a store's replica that answers with an old version,
-        # and against replies that overtake one another.
+        """Use `table` from now on if it is newer than the cached version."""
+        # A peer or a replica of the store may reply with an old version, and replies
+        # may arrive out of order.
         if table.version > self._table.version:
             self._table = table
             log_message("brasstray:table", version=table.version, author=table.author)
         self._ready = True
 
     async def run(self) -> None:
-        """Look for newer versions until cancelled."""
+        """Check for newer versions until cancelled."""
         while True:
             if not self._ready or self._journal_service.leader is not None:
                 await self._read_store()
-            await self._ask_peer()
+            await self._fetch_from_newest_peer()
             await self._clock.sleep(self._config.timing.table_interval)
 
     async def _read_store(self) -> None:
@@ -82,25 +82,25 @@
             return
         self.adopt(tables[-1] if tables else self._table)
 
-    async def _ask_peer(self) -> None:
+    async def _fetch_from_newest_peer(self) -> None:
         live = self._membership.live()
-        newest = max(live, key=lambda member: member.table_version, default=None)
-        if newest is None:
+        newest_peer = max(live, key=lambda member: member.table_version, default=None)
+        if newest_peer is None:
             return
-        if newest.table_version > self._table.version or not self._ready:
-            await self._ask(newest.incarnation)
+        if newest_peer.table_version > self._table.version or not self._ready:
+            await self._fetch(newest_peer.incarnation)
 
-    async def _ask(self, peer: IncarnationId) -> None:
-        patience = self._config.timing.heartbeat_patience
+    async def _fetch(self, peer: IncarnationId) -> None:
+        timeout = self._config.timing.peer_timeout
         try:
-            reply = await self._peers.call(host_of(peer), peer, AskTable(), patience)
+            reply = await self._peers.call(host_of(peer), peer, AskTable(), timeout)
         except PeerError:
             return
         if isinstance(reply, TableReply) and reply.ready:
             self.adopt(reply.table)
 
     async def change(self, wanted: Table) -> Table:
-        """Make `wanted` the table, in force here at once and elsewhere in seconds.
+        """Store `wanted` as the new table, used here at once and elsewhere in seconds.
 
         Raise TableConflictError or TableUnavailableError.
         """
@@ -109,26 +109,28 @@
         return changed
 
     async def history(self) -> list[Table]:
-        """Return every version, oldest first; raise TableUnavailableError."""
+        """Return all versions, oldest first; raise TableUnavailableError."""
         return await self._store.read()
 
     async def versions(self) -> dict[str, int | None]:
-        """Return the version in force on each listed host; None if it is silent."""
-        found: dict[str, int | None] = {self._config.host: self._table.version}
-        for centre in self._config.data_centres:
-            for host in self._membership.listed_in(centre):
-                patience = self._config.timing.heartbeat_patience
+        """Return the version that each listed host uses; None if it does not reply."""
+        versions_by_host: dict[str, int | None] = {
+            self._config.host: self._table.version
+        }
+        for data_centre in self._config.data_centres:
+            for host in self._membership.listed_in(data_centre):
+                timeout = self._config.timing.peer_timeout
                 try:
-                    reply = await self._peers.call(host, None, AskTable(), patience)
+                    reply = await self._peers.call(host, None, AskTable(), timeout)
                 except PeerError:
-                    found[host] = None
+                    versions_by_host[host] = None
                     continue
                 match reply:
                     case TableReply(table=table):
-                        found[host] = table.version
+                        versions_by_host[host] = table.version
                     case _:
-                        found[host] = None
-        return found
+                        versions_by_host[host] = None
+        return versions_by_host
 
 
 __all__ = ["TableCache"]
--- a/tests/dispatch/test_minion_pool.py
+++ b/tests/dispatch/test_minion_pool.py
@@ -1,4 +1,4 @@
-"""Check which minion gets a start, and which gets none."""
+"""Test the assignment of slots, credits and the ejection of minions."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass
 class Job:
-    number: int = 0
+    sequence_number: int = 0
     unfinished: int = 1
     unsent: int = 1
     weight: float = 1.0
@@ -65,8 +65,8 @@
     return pool
 
 
-def on_clock(story):
-    return run_virtual(story)
+def run_scenario(scenario):
+    return run_virtual(scenario)
 
 
 @pytest.mark.parametrize(
@@ -78,71 +78,71 @@
     ],
     ids=str,
 )
-def test_the_order_of_jobs(order, expected):
-    async def story():
+def test_jobs_get_slots_in_policy_order(order, expected):
+    async def scenario():
         pool = pool_of([listed(0, slots=1)], order=order)
-        first = await pool.take(Job())
-        turns = []
+        blocker = await pool.acquire(Job())
+        started = []
 
-        async def run(job):
+        async def run_tasks(job):
             while job.unsent:
-                load = await pool.take(job)
+                load = await pool.acquire(job)
                 job.unsent -= 1
                 job.unfinished -= 1
-                turns.append(job.number)
-                group.start_soon(end, load)
+                started.append(job.sequence_number)
+                group.start_soon(finish, load)
 
-        async def end(load):
+        async def finish(load):
             await anyio.sleep(0.01)
-            pool.give_back(load)
+            pool.release(load)
 
         async with anyio.create_task_group() as group:
             for number, tasks in ((1, 2), (0, 3), (2, 1)):
-                group.start_soon(run, Job(number, tasks, tasks))
+                group.start_soon(run_tasks, Job(number, tasks, tasks))
                 await anyio.sleep(0.001)
-            pool.give_back(first)
-        return turns
+            pool.release(blocker)
+        return started
 
-    assert on_clock(story) == expected
+    assert run_scenario(scenario) == expected
 
 
 def test_slots_are_filled_only_with_credits():
-    async def story():
+    async def scenario():
         pool = pool_of([listed(0), listed(1)], SlotCredits())
         with anyio.move_on_after(1) as waited:
-            await pool.take(Job())
+            await pool.acquire(Job())
         assert waited.cancelled_caught
         pool.add_credits({"m1": 1})
-        load = await pool.take(Job())
+        load = await pool.acquire(Job())
         assert load.listed.name == "m1"
         assert pool.yield_credits(LEAVE, 9) == {}
-        pool.give_back(load)
+        pool.release(load)
         assert pool.yield_credits(LEAVE, 9) == {"m1": 1}
-        assert pool.held == 0
+        assert pool.held_credits == 0
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
-def test_a_refusal_as_full_takes_the_credit_away():
-    """Two hosts hold the same credit after a partition.
+def test_a_full_reply_drops_the_credit():
+    """After a network partition, two hosts can hold the same credit.
 
-    The second start is refused as full. The credit is dropped, or every later start
-    on it would be refused as well.
+    The second start is refused as full. The credit must be dropped, otherwise every
+    later start that uses it is refused as well.
     """
 
-    async def story():
+    async def scenario():
         pool = pool_of([listed(0)], SlotCredits())
         pool.add_credits({"m0": 2})
-        load = await pool.take(Job())
-        pool.learn(load, job_id(1), RetryReason.FULL)
-        pool.give_back(load)
-        assert pool.held == 1
+        load = await pool.acquire(Job())
+        pool.record_failure(load, job_id(1), RetryReason.FULL)
+        pool.release(load)
+        assert pool.held_credits == 1
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
 @pytest.mark.parametrize(
-    ("minions", "service", "open_"),
+    ("minions", "service", "eligible"),
     [
         ([listed(0)], LEAVE, {"m0"}),
         ([listed(0), listed(0, service=RERUN)], RERUN, {"m0"}),
@@ -150,85 +150,85 @@
         ([listed(0), listed(1, service=RERUN)], RERUN, {"m1"}),
     ],
 )
-def test_only_minions_that_stay_and_serve_are_chosen(minions, service, open_):
-    async def story():
+def test_only_available_minions_of_the_service_are_chosen(minions, service, eligible):
+    async def scenario():
         pool = pool_of(minions)
-        loads = [await pool.take(Job(service=service)) for _ in range(2)]
+        loads = [await pool.acquire(Job(service=service)) for _ in range(2)]
         return {load.listed.name for load in loads}
 
-    assert on_clock(story) == open_
+    assert run_scenario(scenario) == eligible
 
 
-def test_a_minion_that_fails_several_jobs_is_ejected_and_comes_back():
-    """A minion fails everything at once, so its slots are always free.
+def test_a_minion_that_fails_several_jobs_is_ejected_and_readmitted():
+    """A minion that fails every task at once always has free slots.
 
-    Unless it is kept away from, it draws most tasks to itself and fails them all.
-    After a while it gets one task; if that is done, it is back.
+    Without ejection it attracts most tasks and fails them all. After the ejection it
+    gets one task on probation; a success readmits it.
     """
 
-    async def story():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(4)])
-        bad = pool.get("m0")
-        for number in range(TIMING.eject_after):
-            bad.outstanding += 1
-            pool.learn(bad, job_id(number), RetryReason.TASK_FAILED)
-            pool.give_back(bad)
+        failing = pool.get("m0")
+        for number in range(TIMING.eject_after_failures):
+            failing.outstanding += 1
+            pool.record_failure(failing, job_id(number), RetryReason.TASK_FAILED)
+            pool.release(failing)
         assert pool.ejected == ["m0"]
-        await anyio.sleep(TIMING.eject_least / timedelta(seconds=1) + 0.1)
-        assert bad.rested(pool._clock.monotonic())
-        bad.outstanding = 1
-        assert not bad.rested(pool._clock.monotonic())
-        bad.health.succeed()
-        assert bad.rested(pool._clock.monotonic())
+        await anyio.sleep(TIMING.min_ejection / timedelta(seconds=1) + 0.1)
+        assert failing.can_start(pool._clock.monotonic())
+        failing.outstanding = 1
+        assert not failing.can_start(pool._clock.monotonic())
+        failing.health.record_success()
+        assert failing.can_start(pool._clock.monotonic())
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
 def test_a_minion_that_refuses_connections_is_ejected_at_once():
-    async def story():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(4)])
         load = pool.get("m0")
         load.outstanding += 1
-        pool.learn(load, job_id(1), RetryReason.CONNECTION_REFUSED)
+        pool.record_failure(load, job_id(1), RetryReason.CONNECTION_REFUSED)
         assert pool.ejected == ["m0"]
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
-def test_a_job_that_fails_everywhere_ejects_nobody():
-    async def story():
+def test_a_job_that_fails_everywhere_ejects_no_minion():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(4)])
         for load in pool.loads:
             for _ in range(5):
                 load.outstanding += 1
-                pool.learn(load, job_id(7), RetryReason.TASK_FAILED)
-                pool.give_back(load)
+                pool.record_failure(load, job_id(7), RetryReason.TASK_FAILED)
+                pool.release(load)
         assert pool.ejected == []
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
-def test_at_most_a_part_is_ejected():
-    async def story():
+def test_ejections_are_limited_to_a_share_of_the_minions():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(10)])
         for load in pool.loads:
             for number in range(3):
                 load.outstanding += 1
-                pool.learn(load, job_id(number), RetryReason.SILENT)
-                pool.give_back(load)
+                pool.record_failure(load, job_id(number), RetryReason.SILENT)
+                pool.release(load)
         assert len(pool.ejected) == 3
 
-    on_clock(story)
+    run_scenario(scenario)
 
 
 def test_a_peers_ejection_counts_as_evidence():
-    async def story():
+    async def scenario():
         pool = pool_of([listed(number) for number in range(4)])
-        pool.hear_ejected(["m0", "unknown"])
+        pool.record_peer_ejections(["m0", "unknown"])
         load = pool.get("m0")
         load.outstanding += 1
-        pool.learn(load, job_id(1), RetryReason.CONNECTION_LOST)
-        pool.give_back(load)
+        pool.record_failure(load, job_id(1), RetryReason.CONNECTION_LOST)
+        pool.release(load)
         assert pool.ejected == ["m0"]
 
-    on_clock(story)
+    run_scenario(scenario)
--- a/tests/dispatch/test_retry_budget.py
+++ b/tests/dispatch/test_retry_budget.py
@@ -1,31 +1,35 @@
-"""Check that repeats stay a fraction of successes."""
+"""Test that repeats are limited to a fraction of successes."""
 
 from __future__ import annotations
 
 import pytest
 
-from brasstray.dispatch.retry_budget import EARNED_PER_SUCCESS, MOST_SAVED, RetryBudget
+from brasstray.dispatch.retry_budget import (
+    DEPOSIT_PER_SUCCESS,
+    MAX_BALANCE,
+    RetryBudget,
+)
 
 
 @pytest.mark.parametrize("successes", [0, 100, 10_000])
 def test_repeats_are_a_fraction_of_successes(successes):
-    """Minions start to fail everything while repeatable jobs run.
+    """Guard against a retry storm when minions fail all tasks of repeatable jobs.
 
-    Each failure asks for a repeat. Without a bound the repeats would double the load
+    Each failure requests a repeat; without a limit the repeats would double the load
     and keep the minions failing.
     """
     budget = RetryBudget()
-    while budget.spend():
+    while budget.try_withdraw():
         pass
     repeats = 0
     for _ in range(successes):
-        budget.earn()
-        repeats += budget.spend()
-    assert repeats == pytest.approx(successes * EARNED_PER_SUCCESS, abs=1)
+        budget.deposit()
+        repeats += budget.try_withdraw()
+    assert repeats == pytest.approx(successes * DEPOSIT_PER_SUCCESS, abs=1)
 
 
-def test_what_is_saved_is_bounded():
+def test_the_balance_is_capped():
     budget = RetryBudget()
     for _ in range(100_000):
-        budget.earn()
-    assert sum(budget.spend() for _ in range(1_000)) == MOST_SAVED
+        budget.deposit()
+    assert sum(budget.try_withdraw() for _ in range(1_000)) == MAX_BALANCE
