--- a/src/brasstray/pool/run_judge.py
+++ b/src/brasstray/pool/health_monitor.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from brasstray.pool.minion import Reach
+from brasstray.pool.minion import Reachability
 from brasstray.pool.minion_health import Evidence
 from brasstray.pool.run_record import RunState
 from brasstray.pool.straggling import SIBLINGS_TIMEOUT, pace, straggles
@@ -30,7 +30,7 @@
 LATEST_RETURN = timedelta(seconds=1)
 
 
-class RunJudge:
+class HealthMonitor:
     """Suspect minions on evidence, and tell which runs are better stopped."""
 
     def __init__(
@@ -105,7 +105,7 @@
             return
         self._returns = [at for at in self._returns if now - at < LATEST_RETURN]
         minions = self._minions()
-        unreachable = sum(one.reach is Reach.UNREACHABLE for one in minions)
+        unreachable = sum(one.reach is Reachability.UNREACHABLE for one in minions)
         together = unreachable + len(self._returns)
         self._returns.append(now)
         if together >= SILENT_SHARE_THAT_ABSOLVES * len(minions):
@@ -123,4 +123,4 @@
                 self._events.trusted(minion)
 
 
-__all__ = ["RunJudge"]
+__all__ = ["HealthMonitor"]
--- a/src/brasstray/pool/load_sharing.py
+++ b/src/brasstray/pool/load_sharing.py
@@ -7,7 +7,7 @@
 from typing import TYPE_CHECKING
 
 from brasstray.peer.message.tasks_returned import TasksReturned
-from brasstray.pool.minion import Reach
+from brasstray.pool.minion import Reachability
 from brasstray.pool.pool_load import PoolLoad
 
 if TYPE_CHECKING:
@@ -197,7 +197,7 @@
         return sum(
             m.entry.capacity.cpu_millis
             for m in self._minions()
-            if m.reach is Reach.LEASED
+            if m.reach is Reachability.LEASED
         )
 
 
--- a/src/brasstray/pool/minion.py
+++ b/src/brasstray/pool/minion.py
@@ -24,7 +24,7 @@
 ENDS_REMEMBERED = 64
 
 
-class Reach(Enum):
+class Reachability(Enum):
     """Tell whether a minion is reachable for its owner.
 
     UNPROBED: not yet fenced, so it still obeys orders of a previous owner.
@@ -46,7 +46,7 @@
 
     def __init__(self, entry: MinionEntry) -> None:
         self.entry = entry
-        self.reach = Reach.UNPROBED
+        self.reach = Reachability.UNPROBED
         self.health = MinionHealth()
         self.runs: dict[tuple[TaskName, RunNumber], RunRecord] = {}
         self._cold_until = timedelta(0)
@@ -77,9 +77,9 @@
         A run that was being stopped during the failover is no longer listed as active,
         and its end not yet. It could run beside another run of its task.
         """
-        if self.reach is Reach.GONE:
+        if self.reach is Reachability.GONE:
             return True
-        return self.reach is not Reach.UNPROBED and now >= self._clear_from
+        return self.reach is not Reachability.UNPROBED and now >= self._clear_from
 
     @property
     def free_capacity(self) -> Resources:
@@ -152,7 +152,11 @@
 
     def usable(self, now: timedelta) -> bool:
         """Return whether a new task may start here at `now`."""
-        if self.reach is not Reach.LEASED or self.entry.draining or self.has_unsized:
+        if (
+            self.reach is not Reachability.LEASED
+            or self.entry.draining
+            or self.has_unsized
+        ):
             return False
         if not self.is_known(now):
             return False
@@ -160,4 +164,4 @@
         return most is None or len(self.runs) < most
 
 
-__all__ = ["Minion", "Reach"]
+__all__ = ["Minion", "Reachability"]
--- a/src/brasstray/pool/minion_session.py
+++ b/src/brasstray/pool/minion_session.py
@@ -14,7 +14,7 @@
     StartRefusedError,
 )
 from brasstray.pool.lease_clock import LATEST_EFFECT, LeaseClock
-from brasstray.pool.minion import Reach
+from brasstray.pool.minion import Reachability
 from brasstray.pool.run_record import RunState
 
 if TYPE_CHECKING:
@@ -122,10 +122,10 @@
         for name, run in sorted(self._unknown_starts):
             await self._call_stop(name, run)
             self._unknown_starts.pop((name, run), None)
-        if self._minion.reach is Reach.UNREACHABLE:
+        if self._minion.reach is Reachability.UNREACHABLE:
             silent = self._clock.monotonic() - self._silent_since
             self._owner.take_back(self._minion, silent)
-        self._minion.reach = Reach.LEASED
+        self._minion.reach = Reachability.LEASED
         self._owner.reach_minion(self._minion)
 
     async def _keep(self) -> None:
@@ -165,8 +165,8 @@
 
     async def _await_expiry(self) -> None:
         """Probe until the minion responds; expire its runs once every lease has."""
-        if self._minion.reach is Reach.LEASED:
-            self._minion.reach = Reach.UNREACHABLE
+        if self._minion.reach is Reachability.LEASED:
+            self._minion.reach = Reachability.UNREACHABLE
             self._silent_since = self._clock.monotonic()
             self._owner.reach_minion(self._minion)
         now = self._clock.monotonic()
@@ -180,7 +180,7 @@
             if left <= _NO_WAIT and not expired:
                 expired = await self._expire()
             try:
-                if expired or self._minion.reach is Reach.UNPROBED:
+                if expired or self._minion.reach is Reachability.UNPROBED:
                     await self._probe_in_turn()
                 else:
                     await self._probe(lease=False, wait=_NO_WAIT)
@@ -326,7 +326,7 @@
 
     async def _stop(self, record: RunRecord) -> None:
         key = (record.name, record.run)
-        while key in self._minion.runs and self._minion.reach is not Reach.GONE:
+        while key in self._minion.runs and self._minion.reach is not Reachability.GONE:
             try:
                 await self._call_stop(*key)
                 self._unknown_starts.pop(key, None)
--- a/src/brasstray/pool/owner.py
+++ b/src/brasstray/pool/owner.py
@@ -11,15 +11,15 @@
 from brasstray.batch.task_name import TaskName
 from brasstray.pool.dispatcher import Dispatcher
 from brasstray.pool.durations import Durations
+from brasstray.pool.health_monitor import HealthMonitor
 from brasstray.pool.load_sharing import LoadSharing
 from brasstray.pool.loop_lag import LoopLag
-from brasstray.pool.minion import Reach
+from brasstray.pool.minion import Reachability
 from brasstray.pool.minion_session import FIRST_CALLS_AT_ONCE, MinionSession
 from brasstray.pool.pool_task import PoolTask, TaskPhase
 from brasstray.pool.probe_reply import RunEnd
 from brasstray.pool.recovery import Recovery
 from brasstray.pool.roster import Roster
-from brasstray.pool.run_judge import RunJudge
 from brasstray.pool.run_record import RunState
 from brasstray.pool.run_tracker import RunTracker
 from brasstray.pool.task_registry import TaskRegistry
@@ -81,7 +81,7 @@
         self._inherited = list(inherited or ())
         self._durations = Durations(remote_factor)
         self._roster = Roster(clock, timing, self._begin_session, self._forget_minion)
-        self._judge = RunJudge(lambda: self.minions, events)
+        self._health_monitor = HealthMonitor(lambda: self.minions, events)
         self._tasks = TaskRegistry(clock, events)
         self._recovery = Recovery(
             pool,
@@ -94,7 +94,7 @@
         )
         self._runs = RunTracker(
             self._tasks,
-            self._judge,
+            self._health_monitor,
             self._durations,
             clock,
             events,
@@ -343,7 +343,7 @@
 
     def take_back(self, minion: Minion, silent: timedelta) -> None:
         """Record that `minion` is about to be reachable after a silence."""
-        self._judge.note_back(minion, silent, self._clock.monotonic())
+        self._health_monitor.note_back(minion, silent, self._clock.monotonic())
 
     async def confirm(self) -> bool:
         """Return whether the store says that this owner still has the pool.
@@ -370,7 +370,7 @@
     def lose_minion(self, minion: Minion, *, gone: bool) -> None:
         """Record that all runs on `minion` have ended."""
         if gone:
-            minion.reach = Reach.GONE
+            minion.reach = Reachability.GONE
             self._events.reach_changed(minion)
         self._runs.expire_all(minion)
         self.dispatch()
--- a/src/brasstray/pool/recovery.py
+++ b/src/brasstray/pool/recovery.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from brasstray.pool.minion import Reach
+from brasstray.pool.minion import Reachability
 from brasstray.pool.pool_task import TaskPhase
 
 if TYPE_CHECKING:
@@ -112,14 +112,14 @@
         ]
         queued = sum(self.resolve_claim(task) for task in claimed)
         minions = self._roster.minions
-        unreached = sum(minion.reach is Reach.UNPROBED for minion in minions)
+        unreached = sum(minion.reach is Reachability.UNPROBED for minion in minions)
         given_up = len(claimed) - queued
         self._events.recovered(self._pool, len(minions), unreached, queued, given_up)
 
     @property
     def _all_reached(self) -> bool:
         """Return whether every minion has been asked under this owner's token."""
-        return all(m.reach is not Reach.UNPROBED for m in self._roster.minions)
+        return all(m.reach is not Reachability.UNPROBED for m in self._roster.minions)
 
     @property
     def _all_known(self) -> bool:
--- a/src/brasstray/pool/roster.py
+++ b/src/brasstray/pool/roster.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from brasstray.pool.minion import Minion, Reach
+from brasstray.pool.minion import Minion, Reachability
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterable
@@ -84,7 +84,7 @@
 
     def _remove(self, minion_id: MinionId, now: timedelta) -> None:
         session = self._sessions[minion_id]
-        if session.minion.reach is not Reach.GONE:
+        if session.minion.reach is not Reachability.GONE:
             # A reachable minion lives, whatever the list says. An unreachable one has
             # no runs any more once its leases have expired.
             if session.minion.runs:
--- a/src/brasstray/pool/run_tracker.py
+++ b/src/brasstray/pool/run_tracker.py
@@ -18,11 +18,11 @@
     from brasstray.batch.task_name import TaskName
     from brasstray.clock.clock import Clock
     from brasstray.pool.durations import Durations
+    from brasstray.pool.health_monitor import HealthMonitor
     from brasstray.pool.minion import Minion
     from brasstray.pool.owner_events import OwnerEvents
     from brasstray.pool.pool_task import PoolTask
     from brasstray.pool.probe_reply import ActiveRun, EndedRun
-    from brasstray.pool.run_judge import RunJudge
     from brasstray.pool.task_registry import TaskRegistry
 
 # Run numbers of a task must rise, also for an owner that does not know earlier ones:
@@ -41,7 +41,7 @@
     def __init__(
         self,
         tasks: TaskRegistry,
-        judge: RunJudge,
+        monitor: HealthMonitor,
         durations: Durations,
         clock: Clock,
         events: OwnerEvents,
@@ -49,7 +49,7 @@
         stop: Callable[[Minion, RunRecord], None],
     ) -> None:
         self._tasks = tasks
-        self._judge = judge
+        self._health_monitor = monitor
         self._durations = durations
         self._clock = clock
         self._events = events
@@ -73,7 +73,7 @@
             self._see_active(minion, run)
         now = self._clock.monotonic()
         for record in list(minion.runs.values()):
-            if self._judge.should_stop(minion, record, now):
+            if self._health_monitor.should_stop(minion, record, now):
                 # The task waits until the end is listed, so that it never runs twice.
                 self._stop(minion, record)
 
@@ -114,7 +114,7 @@
     def _end(self, minion: Minion, record: RunRecord, end: RunEnd) -> None:
         minion.remove(record)
         if end is RunEnd.DONE:
-            self._judge.note_done(minion)
+            self._health_monitor.note_done(minion)
         self._take_end(minion, record, end)
 
     def _take_end(self, minion: Minion, record: RunRecord, end: RunEnd) -> None:
@@ -143,9 +143,9 @@
         self._durations.learn(task.of, where, record.expected, took)
 
     def _fail(self, minion: Minion, task: PoolTask) -> None:
-        self._judge.note_failed(minion, task, self._clock.monotonic())
+        self._health_monitor.note_failed(minion, task, self._clock.monotonic())
         if task.failures >= task.of.attempts:
-            self._judge.note_failed_everywhere(task)
+            self._health_monitor.note_failed_everywhere(task)
             self._tasks.finish(task, done=False)
         else:
             self._tasks.queue(task)
@@ -167,7 +167,7 @@
             return
         self._events.refused(minion, record, refusal)
         if refusal is StartRefusal.UNHEALTHY:
-            self._judge.note_unhealthy(minion, self._clock.monotonic())
+            self._health_monitor.note_unhealthy(minion, self._clock.monotonic())
         task = record.task
         if task is None:
             return
--- a/tests/pool/test_cold_minions.py
+++ b/tests/pool/test_cold_minions.py
@@ -16,11 +16,11 @@
 from brasstray.job.ids import MinionId
 from brasstray.platform.minion_listing import minion_entry
 from brasstray.pool.durations import Durations
+from brasstray.pool.health_monitor import HealthMonitor
 from brasstray.pool.minion_entry import MinionEntry
 from brasstray.pool.placement import choose_minion
 from brasstray.pool.pool_task import TaskPhase
 from brasstray.pool.probe_reply import EndedRun, RunEnd
-from brasstray.pool.run_judge import RunJudge
 from brasstray.pool.run_record import RunRecord, RunState
 from brasstray.pool.run_tracker import RunTracker
 from brasstray.pool.task_registry import TaskRegistry
@@ -95,9 +95,9 @@
     book = TaskRegistry(clock, Silent())
     where, made = cold(minion("a"), left_ms), step()
     made.requester = Silent()
-    judge = RunJudge(lambda: [where], Silent())
+    monitor = HealthMonitor(lambda: [where], Silent())
     tracker = RunTracker(
-        book, judge, durations, clock, Silent(), lambda: False, lambda *_: None
+        book, monitor, durations, clock, Silent(), lambda: False, lambda *_: None
     )
     record = at_work(where, made)
     clock.now += ms(300)
@@ -114,9 +114,9 @@
     where, made = cold(minion("a"), left_ms), step()
     record = at_work(where, made)
     record.percent = 50
-    judge = RunJudge(lambda: [where], Silent())
+    monitor = HealthMonitor(lambda: [where], Silent())
     now = NOW + timedelta(milliseconds=200)
-    assert judge.should_stop(where, record, now) is stopped
+    assert monitor.should_stop(where, record, now) is stopped
     assert where.health.suspected is stopped
 
 
--- a/tests/pool/test_placement.py
+++ b/tests/pool/test_placement.py
@@ -15,7 +15,7 @@
 from brasstray.batch.task_name import TaskName
 from brasstray.job.ids import DataCentreName, MinionId, ServiceName
 from brasstray.pool.durations import Durations
-from brasstray.pool.minion import Minion, Reach
+from brasstray.pool.minion import Minion, Reachability
 from brasstray.pool.minion_entry import MinionEntry
 from brasstray.pool.placement import choose_minion, urgency
 from brasstray.pool.pool_task import PoolTask, TaskPhase
@@ -75,7 +75,7 @@
         changes.pop("draining", False),
     )
     made = Minion(entry)
-    made.reach = changes.pop("reach", Reach.LEASED)
+    made.reach = changes.pop("reach", Reachability.LEASED)
     if used:
         record = RunRecord(
             TaskName(BatchId("b" * 16), 0, 0),
@@ -128,8 +128,8 @@
         ([minion("a", cpu=24_000, used=13_600), minion("b")], "a"),
         # Not one without room, out of reach, of another service, or about to leave.
         ([minion("a", used=12_000), minion("b")], "b"),
-        ([minion("a", reach=Reach.UNREACHABLE), minion("b")], "b"),
-        ([minion("a", reach=Reach.UNPROBED), minion("b")], "b"),
+        ([minion("a", reach=Reachability.UNREACHABLE), minion("b")], "b"),
+        ([minion("a", reach=Reachability.UNPROBED), minion("b")], "b"),
         ([minion("a", service=ServiceName("other")), minion("b")], "b"),
         ([minion("a", draining=True), minion("b")], "b"),
         ([minion("a", draining=True)], None),
