--- a/src/brasstray/pool/dispatcher.py
+++ b/src/brasstray/pool/dispatcher.py
@@ -27,7 +27,7 @@
     from brasstray.pool.task_registry import TaskRegistry
 
 # How long a computed load is reused: no longer than other pools wait between reports.
-LOAD_AGE = timedelta(milliseconds=10)
+LOAD_CACHE_TTL = timedelta(milliseconds=10)
 
 
 class Dispatcher:
@@ -71,7 +71,7 @@
         now = self._clock.monotonic()
         if now >= self._load_known_until:
             self._load = self._sharing.load()
-            self._load_known_until = now + LOAD_AGE
+            self._load_known_until = now + LOAD_CACHE_TTL
         return self._load
 
     def wake(self) -> None:
--- a/src/brasstray/pool/durations.py
+++ b/src/brasstray/pool/durations.py
@@ -10,11 +10,11 @@
     from brasstray.pool.step_tasks import StepTasks
 
 # Weight of one run in the moving averages.
-WEIGHT = 0.1
+SMOOTHING_FACTOR = 0.1
 # A run counts as at most this many times its estimate, so that one that hung
 # does not make a minion or a queue look slow for long.
-LARGEST_RATIO = 4.0
-SMALLEST_EXPECTATION = timedelta(milliseconds=5)
+MAX_RATIO = 4.0
+MIN_EXPECTED_DURATION = timedelta(milliseconds=5)
 
 
 class Durations:
@@ -33,7 +33,7 @@
     ) -> timedelta:
         """Return how long a task of `step` should take on `minion`."""
         return max(
-            SMALLEST_EXPECTATION, step.estimate * self.ratio(step, minion, labels)
+            MIN_EXPECTED_DURATION, step.estimate * self.ratio(step, minion, labels)
         )
 
     def ratio(
@@ -51,11 +51,11 @@
         self, step: StepTasks, minion: MinionId, expected: timedelta, took: timedelta
     ) -> None:
         """Note that a run expected to last `expected` on `minion` took `took`."""
-        ratio = min(took / expected, LARGEST_RATIO)
+        ratio = min(took / expected, MAX_RATIO)
         queue = self._by_queue.get(step.queue, 1.0)
-        self._by_queue[step.queue] = queue * (1 + WEIGHT / 2 * (ratio - 1))
+        self._by_queue[step.queue] = queue * (1 + SMOOTHING_FACTOR / 2 * (ratio - 1))
         speed = self._by_minion.get(minion, 1.0)
-        self._by_minion[minion] = speed * (1 + WEIGHT * (ratio - 1))
+        self._by_minion[minion] = speed * (1 + SMOOTHING_FACTOR * (ratio - 1))
 
     def forget(self, minion: MinionId) -> None:
         """Drop what is known of a minion that has gone."""
--- a/src/brasstray/pool/health_monitor.py
+++ b/src/brasstray/pool/health_monitor.py
@@ -19,15 +19,15 @@
     from brasstray.pool.run_record import RunRecord
 
 # A task that has failed on so many minions is at fault itself.
-MINIONS_THAT_ABSOLVE = 2
+FAILED_MINIONS_TO_BLAME_TASK = 2
 
 
 # Below this a minion was silent for a few lost answers, and its runs go on.
-SILENCE_THAT_CONVICTS = timedelta(milliseconds=300)
+MIN_SILENCE_TO_SUSPEND = timedelta(milliseconds=300)
 # If so many of a pool's minions are silent at once, the owner's own link to them is the
-# likely cause. They return within LATEST_RETURN of one another then.
-SILENT_SHARE_THAT_ABSOLVES = 0.5
-LATEST_RETURN = timedelta(seconds=1)
+# likely cause. They return within SHARED_OUTAGE_WINDOW of one another then.
+SHARED_OUTAGE_FRACTION = 0.5
+SHARED_OUTAGE_WINDOW = timedelta(seconds=1)
 
 
 class HealthMonitor:
@@ -101,14 +101,14 @@
         unanswered orders leave their outcome unknown for seconds. It is tried again
         with a growing backoff.
         """
-        if silent < SILENCE_THAT_CONVICTS:
+        if silent < MIN_SILENCE_TO_SUSPEND:
             return
-        self._returns = [at for at in self._returns if now - at < LATEST_RETURN]
+        self._returns = [at for at in self._returns if now - at < SHARED_OUTAGE_WINDOW]
         minions = self._minions()
         unreachable = sum(one.reach is Reachability.UNREACHABLE for one in minions)
         together = unreachable + len(self._returns)
         self._returns.append(now)
-        if together >= SILENT_SHARE_THAT_ABSOLVES * len(minions):
+        if together >= SHARED_OUTAGE_FRACTION * len(minions):
             return
         minion.health.suspend(now)
         self._events.suspected(minion, Evidence.SILENCE)
@@ -116,7 +116,7 @@
     def note_failed_everywhere(self, task: PoolTask) -> None:
         """Hold a task that failed for good on several minions against none of them."""
         failed_on = [m for m in self._minions() if m.entry.id in task.avoided]
-        if len(failed_on) < MINIONS_THAT_ABSOLVE:
+        if len(failed_on) < FAILED_MINIONS_TO_BLAME_TASK:
             return
         for minion in failed_on:
             if minion.health.absolve(task.name.batch):
--- a/src/brasstray/pool/lease_clock.py
+++ b/src/brasstray/pool/lease_clock.py
@@ -12,7 +12,7 @@
 
 _MILLISECOND = timedelta(milliseconds=1)
 # Minions may carry out an unanswered order up to 12 s late, for a lease of at most 1 s.
-LATEST_EFFECT = timedelta(seconds=13)
+MAX_EFFECT_DELAY = timedelta(seconds=13)
 
 
 class LeaseClock:
@@ -53,7 +53,7 @@
         if self._unanswered_at is not None and sent > self._unanswered_at:
             # The minion answered a later call, so the order or its response was lost
             # or held up. A minion that has died answers none.
-            self._late_until = self._unanswered_at + LATEST_EFFECT
+            self._late_until = self._unanswered_at + MAX_EFFECT_DELAY
             self._unanswered_at = None
 
     def miss(self, sent: timedelta) -> None:
--- a/src/brasstray/pool/load_sharing.py
+++ b/src/brasstray/pool/load_sharing.py
@@ -26,9 +26,9 @@
 _MILLISECOND = timedelta(milliseconds=1)
 # Free slots are of the usual size of a task, a moving average, and a little more: a
 # slot too small for the next task is worth less than none.
-TYPICAL_WEIGHT = 0.05
-TYPICAL_MARGIN = 1.1
-UNKNOWN_CPU = 1_000.0
+TASK_SIZE_SMOOTHING = 0.05
+SLOT_SIZE_MARGIN = 1.1
+DEFAULT_TASK_CPU_MILLIS = 1_000.0
 
 
 class LoadSharing:
@@ -58,7 +58,7 @@
         cpu = max(1, needs.cpu_millis)
         if self._typical_cpu is None:
             self._typical_cpu = cpu
-        self._typical_cpu += TYPICAL_WEIGHT * (cpu - self._typical_cpu)
+        self._typical_cpu += TASK_SIZE_SMOOTHING * (cpu - self._typical_cpu)
 
     def forward_or_reject(self, left: list[StepTasks], now: timedelta) -> None:
         """Forward waiting tasks to pools with free slots, or reject them.
@@ -190,7 +190,9 @@
         if waiting:
             return PoolLoad(0, round(1_000 * waiting / max(1, self._held_cpu())))
         # Before the first request nothing is known of the size of tasks.
-        typical = round((self._typical_cpu or UNKNOWN_CPU) * TYPICAL_MARGIN)
+        typical = round(
+            (self._typical_cpu or DEFAULT_TASK_CPU_MILLIS) * SLOT_SIZE_MARGIN
+        )
         return PoolLoad(sum(m.free_cpu_millis // typical for m in usable), 0)
 
     def _held_cpu(self) -> int:
--- a/src/brasstray/pool/loop_lag.py
+++ b/src/brasstray/pool/loop_lag.py
@@ -5,10 +5,10 @@
 from datetime import timedelta
 
 # The allowance decays over seconds, as bursts of work come in series.
-DECAY = 0.991
+DECAY_FACTOR = 0.991
 # A larger allowance would let the probes in a row outlast a lease, so that the death of
 # a minion is detected late.
-LARGEST_ALLOWANCE = timedelta(milliseconds=150)
+MAX_ALLOWANCE = timedelta(milliseconds=150)
 
 
 class LoopLag:
@@ -25,12 +25,12 @@
 
     def note(self, late: timedelta) -> None:
         """Record that a timer fired late by `late`."""
-        self._lag = max(late, self._lag * DECAY)
+        self._lag = max(late, self._lag * DECAY_FACTOR)
 
     @property
     def allowance(self) -> timedelta:
         """Return how much longer than usual to wait for an answer."""
-        return min(self._lag, LARGEST_ALLOWANCE)
+        return min(self._lag, MAX_ALLOWANCE)
 
 
-__all__ = ["LARGEST_ALLOWANCE", "LoopLag"]
+__all__ = ["MAX_ALLOWANCE", "LoopLag"]
--- a/src/brasstray/pool/minion.py
+++ b/src/brasstray/pool/minion.py
@@ -21,7 +21,7 @@
 
 
 # Replies overtake one another by a few, and a minion has a few dozen runs at most.
-ENDS_REMEMBERED = 64
+MAX_REMEMBERED_ENDS = 64
 
 
 class Reachability(Enum):
@@ -53,7 +53,9 @@
         self._clear_from = timedelta(0)
         self._used = Resources()
         self._unsized = 0
-        self._gone: deque[tuple[TaskName, RunNumber]] = deque(maxlen=ENDS_REMEMBERED)
+        self._gone: deque[tuple[TaskName, RunNumber]] = deque(
+            maxlen=MAX_REMEMBERED_ENDS
+        )
 
     def take_entry(self, entry: MinionEntry, now: timedelta) -> None:
         """Take what the minion said of itself last, as read at `now`."""
--- a/src/brasstray/pool/minion_health.py
+++ b/src/brasstray/pool/minion_health.py
@@ -10,10 +10,10 @@
     from brasstray.batch.ids import BatchId
 
 # One job alone may be one that fails everywhere.
-JOBS_THAT_CONVICT = 2
+FAILED_JOBS_TO_SUSPEND = 2
 FIRST_SUSPENSION = timedelta(seconds=1)
 # Upper bound of the backoff, so that a minion that has recovered is soon used again.
-LONGEST_SUSPENSION = timedelta(seconds=4)
+MAX_SUSPENSION = timedelta(seconds=4)
 
 
 class Evidence(Enum):
@@ -60,7 +60,7 @@
     def fail(self, batch: BatchId, now: timedelta) -> bool:
         """Note a run that failed; return whether the minion is suspected for it."""
         self._failed_jobs.add(batch)
-        if len(self._failed_jobs) < JOBS_THAT_CONVICT and not self.suspected:
+        if len(self._failed_jobs) < FAILED_JOBS_TO_SUSPEND and not self.suspected:
             return False
         self._suspend(now)
         self._for_failures = True
@@ -74,7 +74,7 @@
         the minion is at fault shows only once the job has failed everywhere.
         """
         self._failed_jobs.discard(batch)
-        convicted = len(self._failed_jobs) >= JOBS_THAT_CONVICT
+        convicted = len(self._failed_jobs) >= FAILED_JOBS_TO_SUSPEND
         if not self.suspected or not self._for_failures or convicted:
             return False
         self._suspended_until = None
@@ -89,7 +89,7 @@
 
     def _suspend(self, now: timedelta) -> None:
         longer = max(FIRST_SUSPENSION, self._suspension * 2)
-        self._suspension = min(longer, LONGEST_SUSPENSION)
+        self._suspension = min(longer, MAX_SUSPENSION)
         self._suspended_until = now + self._suspension
 
 
--- a/src/brasstray/pool/minion_session.py
+++ b/src/brasstray/pool/minion_session.py
@@ -13,7 +13,7 @@
     MinionSilentError,
     StartRefusedError,
 )
-from brasstray.pool.lease_clock import LATEST_EFFECT, LeaseClock
+from brasstray.pool.lease_clock import MAX_EFFECT_DELAY, LeaseClock
 from brasstray.pool.minion import Reachability
 from brasstray.pool.run_record import RunState
 
@@ -36,7 +36,7 @@
 PROBES_BEFORE_UNREACHABLE = 4
 # A new owner opens a connection to each minion. Bounding how many it opens at once
 # keeps each answer within the probe timeout on a slow host.
-FIRST_CALLS_AT_ONCE = 8
+MAX_CONCURRENT_FIRST_CALLS = 8
 # Upper bound of the backoff between probes of an unreachable minion, so that the loss
 # of a rack does not saturate the owner.
 MAX_PROBE_BACKOFF = timedelta(milliseconds=400)
@@ -86,7 +86,7 @@
     def may_start_late(self, now: timedelta) -> bool:
         """Return whether a start whose outcome is unknown may still be carried out."""
         return any(
-            now - since < LATEST_EFFECT for since in self._unknown_starts.values()
+            now - since < MAX_EFFECT_DELAY for since in self._unknown_starts.values()
         )
 
     async def run(self) -> None:
--- a/src/brasstray/pool/owner.py
+++ b/src/brasstray/pool/owner.py
@@ -15,7 +15,7 @@
 from brasstray.pool.load_sharing import LoadSharing
 from brasstray.pool.loop_lag import LoopLag
 from brasstray.pool.minion import Reachability
-from brasstray.pool.minion_session import FIRST_CALLS_AT_ONCE, MinionSession
+from brasstray.pool.minion_session import MAX_CONCURRENT_FIRST_CALLS, MinionSession
 from brasstray.pool.pool_task import PoolTask, TaskPhase
 from brasstray.pool.probe_reply import RunEnd
 from brasstray.pool.recovery import Recovery
@@ -48,7 +48,7 @@
 
 # Interval of what time alone changes: a suspension of a minion that ends, a job that
 # cannot meet its deadline any more.
-TIME_STEP = timedelta(milliseconds=20)
+CHECK_INTERVAL = timedelta(milliseconds=20)
 
 
 class PoolOwner:
@@ -111,7 +111,7 @@
             evacuated,
         )
         self._lag = LoopLag()
-        self._first_calls = anyio.Semaphore(FIRST_CALLS_AT_ONCE)
+        self._first_calls = anyio.Semaphore(MAX_CONCURRENT_FIRST_CALLS)
         self._group: TaskGroup | None = None
         self._deposed = anyio.Event()
         self._dispatcher = Dispatcher(
@@ -211,8 +211,8 @@
 
     async def _watch_time(self) -> None:
         while True:
-            due = self._clock.monotonic() + TIME_STEP
-            await self._clock.sleep(TIME_STEP)
+            due = self._clock.monotonic() + CHECK_INTERVAL
+            await self._clock.sleep(CHECK_INTERVAL)
             self._lag.note(self._clock.monotonic() - due)
             self._tasks.forget_old_ends()
             if any(step.waiting for step in self._tasks.steps):
--- a/src/brasstray/pool/placement.py
+++ b/src/brasstray/pool/placement.py
@@ -17,7 +17,7 @@
 # Weight of the capacity left unused, against the expected duration of the run.
 FIT_WEIGHT = 0.3
 # A cold minion gets a task only where no other has capacity. How slow it is is unknown.
-COLD_WEIGHT = 1.0
+COLD_PENALTY = 1.0
 
 
 class Rank(IntEnum):
@@ -64,7 +64,7 @@
         if entry.id in task.avoided:
             cost += 1.0
         if minion.is_cold(now):
-            cost += COLD_WEIGHT
+            cost += COLD_PENALTY
         if best is None or cost < best_cost:
             best, best_cost = minion, cost
     return best
--- a/src/brasstray/pool/recovery.py
+++ b/src/brasstray/pool/recovery.py
@@ -19,7 +19,7 @@
     from brasstray.pool.task_registry import TaskRegistry
     from brasstray.pool.timing import PoolTiming
 
-_STEP = timedelta(milliseconds=5)
+_POLL_INTERVAL = timedelta(milliseconds=5)
 
 
 class Recovery:
@@ -72,7 +72,7 @@
         while not self._all_known:
             if self._clock.monotonic() >= deadline and not self._all_reached:
                 break
-            await self._clock.sleep(_STEP)
+            await self._clock.sleep(_POLL_INTERVAL)
         self._recovered.set()
         self._resolve_claims()
 
--- a/src/brasstray/pool/run_tracker.py
+++ b/src/brasstray/pool/run_tracker.py
@@ -27,7 +27,7 @@
 
 # Run numbers of a task must rise, also for an owner that does not know earlier ones:
 # after a refusal for a stale number it continues this much higher.
-RUN_NUMBER_LEAP = 1_000
+RUN_NUMBER_SKIP = 1_000
 
 
 class RunTracker:
@@ -173,7 +173,7 @@
             return
         match refusal:
             case StartRefusal.STALE_RUN:
-                task.last_run = RunNumber(task.last_run + RUN_NUMBER_LEAP)
+                task.last_run = RunNumber(task.last_run + RUN_NUMBER_SKIP)
             case StartRefusal.MALFORMED:
                 task.failures += 1
                 if task.failures >= task.of.attempts:
--- a/src/brasstray/pool/straggling.py
+++ b/src/brasstray/pool/straggling.py
@@ -9,15 +9,15 @@
     from brasstray.pool.run_record import RunRecord
 
 # Beyond the error of estimates and the differences between sound minions together.
-SLOWEST_SOUND_RATIO = 4.0
+MAX_SLOWDOWN = 4.0
 # Tasks of one step share the error of their estimate, so less suffices among them.
-SLOWEST_SOUND_TO_SIBLINGS = 2.2
+MAX_SLOWDOWN_VS_SIBLINGS = 2.2
 # Below this the start's own delay is most of what is seen.
-SHORTEST_EVIDENCE = timedelta(milliseconds=120)
+MIN_OBSERVATION = timedelta(milliseconds=120)
 # Siblings have shown their pace by then.
 SIBLINGS_TIMEOUT = timedelta(milliseconds=350)
 # A restart must save this much: the run's remaining time against a whole new run.
-LEAST_GAIN = 1.2
+MIN_RESTART_GAIN = 1.2
 
 
 def straggles(record: RunRecord, now: timedelta, siblings: float | None) -> bool:
@@ -27,16 +27,16 @@
     on other minions, if any is known.
     """
     elapsed = now - record.began
-    if not record.expected or elapsed < SHORTEST_EVIDENCE:
+    if not record.expected or elapsed < MIN_OBSERVATION:
         return False
     ratio = pace(record, now)
     if siblings is None:
-        if ratio <= SLOWEST_SOUND_RATIO:
+        if ratio <= MAX_SLOWDOWN:
             return False
-    elif ratio <= siblings * SLOWEST_SOUND_TO_SIBLINGS:
+    elif ratio <= siblings * MAX_SLOWDOWN_VS_SIBLINGS:
         return False
     remaining = record.expected * ratio - elapsed
-    return remaining > record.expected * (siblings or 1.0) * LEAST_GAIN
+    return remaining > record.expected * (siblings or 1.0) * MIN_RESTART_GAIN
 
 
 def pace(record: RunRecord, now: timedelta) -> float:
--- a/src/brasstray/pool/task_registry.py
+++ b/src/brasstray/pool/task_registry.py
@@ -23,7 +23,7 @@
 
 _MILLISECOND = timedelta(milliseconds=1)
 # Ends are remembered for this long for a requester that asks again on a new link.
-END_MEMORY = timedelta(seconds=3)
+END_RETENTION = timedelta(seconds=3)
 
 
 @dataclass(frozen=True, slots=True)
@@ -126,7 +126,7 @@
 
     def forget_old_ends(self) -> None:
         """Forget ends that nobody has claimed in time."""
-        oldest = self._clock.monotonic() - END_MEMORY
+        oldest = self._clock.monotonic() - END_RETENTION
         while self._recent:
             name = next(iter(self._recent))
             if self._recent[name].at > oldest:
--- a/tests/pool/test_lease_clock.py
+++ b/tests/pool/test_lease_clock.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brasstray.pool.lease_clock import LATEST_EFFECT, LeaseClock
+from brasstray.pool.lease_clock import MAX_EFFECT_DELAY, LeaseClock
 from brasstray.pool.timing import PoolTiming
 
 
@@ -23,8 +23,8 @@
         (100, (50, 200), 500, False),
         # One after which the minion answered another call: it may still come.
         (100, (150, 200), 500, True),
-        (100, (150, 200), 100 + LATEST_EFFECT / ms(1) - 1, True),
-        (100, (150, 200), 100 + LATEST_EFFECT / ms(1), False),
+        (100, (150, 200), 100 + MAX_EFFECT_DELAY / ms(1) - 1, True),
+        (100, (150, 200), 100 + MAX_EFFECT_DELAY / ms(1), False),
     ],
 )
 def test_an_order_that_is_held_up_may_extend_a_lease(
--- a/tests/pool/test_loop_lag.py
+++ b/tests/pool/test_loop_lag.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brasstray.pool.loop_lag import LARGEST_ALLOWANCE, LoopLag
+from brasstray.pool.loop_lag import MAX_ALLOWANCE, LoopLag
 
 
 def ms(count):
@@ -29,4 +29,4 @@
     lag = LoopLag()
     for late in lateness:
         lag.note(ms(late))
-    assert ms(least) <= lag.allowance <= min(ms(most), LARGEST_ALLOWANCE)
+    assert ms(least) <= lag.allowance <= min(ms(most), MAX_ALLOWANCE)
