--- a/src/brasstray/pool/dispatcher.py
+++ b/src/brasstray/pool/dispatcher.py
@@ -64,14 +64,14 @@
         self._changed = anyio.Event()
         self._review_due = False
         self._load = PoolLoad()
-        self._load_known_until = timedelta(0)
+        self._load_valid_until = timedelta(0)
 
     def load(self) -> PoolLoad:
         """Return the free slots, and the wait for a task that came now."""
         now = self._clock.monotonic()
-        if now >= self._load_known_until:
+        if now >= self._load_valid_until:
             self._load = self._sharing.load()
-            self._load_known_until = now + LOAD_CACHE_TTL
+            self._load_valid_until = now + LOAD_CACHE_TTL
         return self._load
 
     def wake(self) -> None:
@@ -84,7 +84,7 @@
         self._review_due = True
         self.wake()
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Release all that wait for a change."""
         self._changed.set()
 
@@ -125,14 +125,14 @@
             )
         )
         for step in waiting:
-            self._start_some(step, minions, now)
+            self._start_tasks(step, minions, now)
         if self._review_due:
             self._review_due = False
             self._sharing.forward_or_reject(
                 [step for step in waiting if step.waiting], now
             )
 
-    def _start_some(
+    def _start_tasks(
         self, step: StepTasks, minions: list[Minion], now: timedelta
     ) -> None:
         while step.waiting:
@@ -144,7 +144,7 @@
             self._place(task, minion, now)
 
     def _place(self, task: PoolTask, minion: Minion, now: timedelta) -> None:
-        step, entry = task.of, minion.entry
+        step, entry = task.parent_step, minion.entry
         task.phase = TaskPhase.PLACED
         task.last_run = RunNumber(task.last_run + 1)
         expected = self._durations.expected(step, entry.id, entry.labels)
--- a/src/brasstray/pool/health_monitor.py
+++ b/src/brasstray/pool/health_monitor.py
@@ -8,7 +8,7 @@
 from brasstray.pool.minion import Reachability
 from brasstray.pool.minion_health import Evidence
 from brasstray.pool.run_record import RunState
-from brasstray.pool.straggling import SIBLINGS_TIMEOUT, pace, straggles
+from brasstray.pool.straggling import SIBLINGS_TIMEOUT, is_straggler, slowdown
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -38,7 +38,7 @@
     ) -> None:
         self._minions = minions
         self._events = events
-        self._returns: list[timedelta] = []
+        self._recent_returns: list[timedelta] = []
 
     def should_stop(self, minion: Minion, record: RunRecord, now: timedelta) -> bool:
         """Return whether a run is so slow that its task is better run elsewhere.
@@ -52,14 +52,14 @@
             # Slow as announced: stopping its runs would waste their work, and minions
             # suspected for it would be missing when a data centre comes back cold.
             return False
-        step, where = task.of, minion.entry.id
-        siblings = step.pace_elsewhere(where)
-        step.paces[where] = pace(record, now)
-        if siblings is None and self._siblings_untold(record, now):
+        step, where = task.parent_step, minion.entry.id
+        siblings = step.best_slowdown_elsewhere(where)
+        step.slowdowns[where] = slowdown(record, now)
+        if siblings is None and self._awaiting_siblings(record, now):
             return False
         # A task is restarted for its pace once only: if it is as slow elsewhere, it is
         # the task that is long and not the minions that are slow.
-        if task.straggled or not straggles(record, now, siblings):
+        if task.straggled or not is_straggler(record, now, siblings):
             return False
         task.straggled = True
         task.avoided.add(where)
@@ -68,33 +68,33 @@
             self._events.suspected(minion, Evidence.STRAGGLING)
         return True
 
-    def _siblings_untold(self, record: RunRecord, now: timedelta) -> bool:
+    def _awaiting_siblings(self, record: RunRecord, now: timedelta) -> bool:
         """Return whether tasks of the same step elsewhere will soon show their pace."""
         if now - record.began > SIBLINGS_TIMEOUT:
             return False
         assert record.task is not None
-        if len(record.task.of.tasks) < 2:
+        if len(record.task.parent_step.tasks) < 2:
             return False
-        return sum(m.has_task_of(record.task.of) for m in self._minions()) > 1
+        return sum(m.has_task_of(record.task.parent_step) for m in self._minions()) > 1
 
-    def note_done(self, minion: Minion) -> None:
+    def record_done(self, minion: Minion) -> None:
         """Record that a run on `minion` ended well."""
-        if minion.health.end_well():
+        if minion.health.record_success():
             self._events.trusted(minion)
 
-    def note_failed(self, minion: Minion, task: PoolTask, now: timedelta) -> None:
+    def record_failed(self, minion: Minion, task: PoolTask, now: timedelta) -> None:
         """Record that a run of `task` failed on `minion`."""
-        if minion.health.fail(task.name.batch, now):
+        if minion.health.record_failure(task.name.batch, now):
             self._events.suspected(minion, Evidence.FAILURES)
         task.failures += 1
         task.avoided.add(minion.entry.id)
 
-    def note_unhealthy(self, minion: Minion, now: timedelta) -> None:
+    def record_unhealthy(self, minion: Minion, now: timedelta) -> None:
         """Record that `minion` says itself that it cannot run tasks."""
         minion.health.suspend(now)
         self._events.suspected(minion, Evidence.UNHEALTHY)
 
-    def note_back(self, minion: Minion, silent: timedelta, now: timedelta) -> None:
+    def record_return(self, minion: Minion, silent: timedelta, now: timedelta) -> None:
         """Record that `minion` answers again after it was silent for so long.
 
         On a minion that comes and goes, the next tasks would be unreachable again, and
@@ -103,23 +103,25 @@
         """
         if silent < MIN_SILENCE_TO_SUSPEND:
             return
-        self._returns = [at for at in self._returns if now - at < SHARED_OUTAGE_WINDOW]
+        self._recent_returns = [
+            at for at in self._recent_returns if now - at < SHARED_OUTAGE_WINDOW
+        ]
         minions = self._minions()
         unreachable = sum(one.reach is Reachability.UNREACHABLE for one in minions)
-        together = unreachable + len(self._returns)
-        self._returns.append(now)
+        together = unreachable + len(self._recent_returns)
+        self._recent_returns.append(now)
         if together >= SHARED_OUTAGE_FRACTION * len(minions):
             return
         minion.health.suspend(now)
         self._events.suspected(minion, Evidence.SILENCE)
 
-    def note_failed_everywhere(self, task: PoolTask) -> None:
+    def record_failed_everywhere(self, task: PoolTask) -> None:
         """Hold a task that failed for good on several minions against none of them."""
         failed_on = [m for m in self._minions() if m.entry.id in task.avoided]
         if len(failed_on) < FAILED_MINIONS_TO_BLAME_TASK:
             return
         for minion in failed_on:
-            if minion.health.absolve(task.name.batch):
+            if minion.health.discard_failures(task.name.batch):
                 self._events.trusted(minion)
 
 
--- a/src/brasstray/pool/load_sharing.py
+++ b/src/brasstray/pool/load_sharing.py
@@ -51,14 +51,14 @@
         self._clock = clock
         self._events = events
         self._evacuated = evacuated
-        self._typical_cpu: float | None = None
+        self._mean_task_cpu: float | None = None
 
-    def weigh(self, needs: Resources) -> None:
+    def observe_demand(self, needs: Resources) -> None:
         """Record how much a task asks for."""
         cpu = max(1, needs.cpu_millis)
-        if self._typical_cpu is None:
-            self._typical_cpu = cpu
-        self._typical_cpu += TASK_SIZE_SMOOTHING * (cpu - self._typical_cpu)
+        if self._mean_task_cpu is None:
+            self._mean_task_cpu = cpu
+        self._mean_task_cpu += TASK_SIZE_SMOOTHING * (cpu - self._mean_task_cpu)
 
     def forward_or_reject(self, left: list[StepTasks], now: timedelta) -> None:
         """Forward waiting tasks to pools with free slots, or reject them.
@@ -68,7 +68,7 @@
         if not left:
             return
         loads = self._others.loads()
-        capacity = self._held_cpu()
+        capacity = self._leased_cpu()
         wait = timedelta(0)
         for step in left:
             expected = self._durations.expected(step, None, ())
@@ -111,7 +111,7 @@
         count = len(step.waiting)
         expected = self._durations.expected(step, None, ())
         # The other pools are taken to be as large as this one.
-        each = expected * step.needs.cpu_millis / max(1, self._held_cpu())
+        each = expected * step.needs.cpu_millis / max(1, self._leased_cpu())
         pool = min(
             loads,
             key=lambda p: loads[p].wait_ms * _MILLISECOND + loads[p].excess * each,
@@ -153,7 +153,7 @@
         if step.begun:
             return False
         whole = len(step.tasks) == step.width
-        return end > (min(step.useful, step.limit) if whole else step.limit)
+        return end > (min(step.useful_until, step.limit) if whole else step.limit)
 
     def _reject(self, step: StepTasks, wait: timedelta) -> None:
         evacuated = self._evacuated()
@@ -188,14 +188,14 @@
             for step in self._tasks.steps
         )
         if waiting:
-            return PoolLoad(0, round(1_000 * waiting / max(1, self._held_cpu())))
+            return PoolLoad(0, round(1_000 * waiting / max(1, self._leased_cpu())))
         # Before the first request nothing is known of the size of tasks.
         typical = round(
-            (self._typical_cpu or DEFAULT_TASK_CPU_MILLIS) * SLOT_SIZE_MARGIN
+            (self._mean_task_cpu or DEFAULT_TASK_CPU_MILLIS) * SLOT_SIZE_MARGIN
         )
         return PoolLoad(sum(m.free_cpu_millis // typical for m in usable), 0)
 
-    def _held_cpu(self) -> int:
+    def _leased_cpu(self) -> int:
         return sum(
             m.entry.capacity.cpu_millis
             for m in self._minions()
--- a/src/brasstray/pool/loop_lag.py
+++ b/src/brasstray/pool/loop_lag.py
@@ -23,7 +23,7 @@
     def __init__(self) -> None:
         self._lag = timedelta(0)
 
-    def note(self, late: timedelta) -> None:
+    def observe(self, late: timedelta) -> None:
         """Record that a timer fired late by `late`."""
         self._lag = max(late, self._lag * DECAY_FACTOR)
 
--- a/src/brasstray/pool/minion.py
+++ b/src/brasstray/pool/minion.py
@@ -50,14 +50,14 @@
         self.health = MinionHealth()
         self.runs: dict[tuple[TaskName, RunNumber], RunRecord] = {}
         self._cold_until = timedelta(0)
-        self._clear_from = timedelta(0)
+        self._stops_done_by = timedelta(0)
         self._used = Resources()
-        self._unsized = 0
-        self._gone: deque[tuple[TaskName, RunNumber]] = deque(
+        self._unsized_count = 0
+        self._ended_runs: deque[tuple[TaskName, RunNumber]] = deque(
             maxlen=MAX_REMEMBERED_ENDS
         )
 
-    def take_entry(self, entry: MinionEntry, now: timedelta) -> None:
+    def update_entry(self, entry: MinionEntry, now: timedelta) -> None:
         """Take what the minion said of itself last, as read at `now`."""
         self.entry = entry
         self._cold_until = now + timedelta(milliseconds=entry.cold_left_ms)
@@ -66,14 +66,14 @@
         """Return whether the minion is still slow after its start at `now`."""
         return now < self._cold_until
 
-    def fence(self, clear_from: timedelta) -> None:
+    def fence(self, stops_done_by: timedelta) -> None:
         """Record that the minion has seen the token of its owner.
 
-        What a previous owner was stopping then has ended by `clear_from`.
+        What a previous owner was stopping then has ended by `stops_done_by`.
         """
-        self._clear_from = clear_from
+        self._stops_done_by = stops_done_by
 
-    def is_known(self, now: timedelta) -> bool:
+    def runs_known(self, now: timedelta) -> bool:
         """Return whether everything that may be active here is known at `now`.
 
         A run that was being stopped during the failover is no longer listed as active,
@@ -81,7 +81,7 @@
         """
         if self.reach is Reachability.GONE:
             return True
-        return self.reach is not Reachability.UNPROBED and now >= self._clear_from
+        return self.reach is not Reachability.UNPROBED and now >= self._stops_done_by
 
     @property
     def free_capacity(self) -> Resources:
@@ -94,17 +94,17 @@
         return self.entry.capacity.cpu_millis - self._used.cpu_millis
 
     @property
-    def has_unsized(self) -> bool:
+    def has_unsized_runs(self) -> bool:
         """Return whether runs of an earlier owner are here whose size is not known.
 
         They use capacity until their end is listed, also while they are being stopped.
         """
-        return self._unsized > 0
+        return self._unsized_count > 0
 
     def has_task_of(self, step: StepTasks) -> bool:
         """Return whether a wanted task of `step` is here."""
         return any(
-            record.task is not None and record.task.of is step
+            record.task is not None and record.task.parent_step is step
             for record in self.runs.values()
         )
 
@@ -112,35 +112,35 @@
         """Count `record` against the capacity."""
         self.runs[record.name, record.run] = record
         self._used = self._used + record.needs
-        self._unsized += not record.size_known
+        self._unsized_count += not record.size_known
 
     def adopt(self, record: RunRecord, task: PoolTask) -> None:
         """Let a run that is here already be the run of `task`."""
         record.task = task
-        self.resize(record, task.of.needs)
+        self.resize(record, task.parent_step.needs)
         task.phase = TaskPhase.PLACED
         task.last_run = max(task.last_run, record.run)
-        task.of.begun = True
+        task.parent_step.begun = True
 
     def has_ended(self, name: TaskName, run: RunNumber) -> bool:
         """Tell whether the end of a run here is known, so that it is not seen again."""
-        return (name, run) in self._gone
+        return (name, run) in self._ended_runs
 
     def resize(self, record: RunRecord, needs: Resources) -> None:
         """Count `record` as needing `needs` from now on."""
         self._used = self._used - record.needs + needs
-        self._unsized -= not record.size_known
+        self._unsized_count -= not record.size_known
         record.needs = needs
         record.size_known = True
 
     def remove(self, record: RunRecord) -> bool:
         """Free what `record` used, as it has ended; return whether it still counted."""
-        if not self.lose(record):
+        if not self.release(record):
             return False
-        self._gone.append((record.name, record.run))
+        self._ended_runs.append((record.name, record.run))
         return True
 
-    def lose(self, record: RunRecord) -> bool:
+    def release(self, record: RunRecord) -> bool:
         """Free what `record` used, as its lease should be over.
 
         Its end was not reported, so it counts again if the minion, reachable again,
@@ -149,7 +149,7 @@
         if self.runs.pop((record.name, record.run), None) is None:
             return False
         self._used = self._used - record.needs
-        self._unsized -= not record.size_known
+        self._unsized_count -= not record.size_known
         return True
 
     def usable(self, now: timedelta) -> bool:
@@ -157,12 +157,12 @@
         if (
             self.reach is not Reachability.LEASED
             or self.entry.draining
-            or self.has_unsized
+            or self.has_unsized_runs
         ):
             return False
-        if not self.is_known(now):
+        if not self.runs_known(now):
             return False
-        most = self.health.most_runs(now)
+        most = self.health.max_runs(now)
         return most is None or len(self.runs) < most
 
 
--- a/src/brasstray/pool/minion_health.py
+++ b/src/brasstray/pool/minion_health.py
@@ -34,7 +34,7 @@
 
     def __init__(self) -> None:
         self._failed_jobs: set[BatchId] = set()
-        self._for_failures = False
+        self._suspended_for_failures = False
         self._suspension = timedelta()
         self._suspended_until: timedelta | None = None
 
@@ -43,13 +43,13 @@
         """Return whether nothing has ended well since the minion was suspected."""
         return self._suspended_until is not None
 
-    def most_runs(self, now: timedelta) -> int | None:
+    def max_runs(self, now: timedelta) -> int | None:
         """Return how many runs it may have at `now`; None means no bound."""
         if self._suspended_until is None:
             return None
         return 0 if now < self._suspended_until else 1
 
-    def end_well(self) -> bool:
+    def record_success(self) -> bool:
         """Note a run that ended well; return whether the minion was suspected."""
         was = self.suspected
         self._failed_jobs.clear()
@@ -57,16 +57,16 @@
         self._suspension = timedelta()
         return was
 
-    def fail(self, batch: BatchId, now: timedelta) -> bool:
+    def record_failure(self, batch: BatchId, now: timedelta) -> bool:
         """Note a run that failed; return whether the minion is suspected for it."""
         self._failed_jobs.add(batch)
         if len(self._failed_jobs) < FAILED_JOBS_TO_SUSPEND and not self.suspected:
             return False
         self._suspend(now)
-        self._for_failures = True
+        self._suspended_for_failures = True
         return True
 
-    def absolve(self, batch: BatchId) -> bool:
+    def discard_failures(self, batch: BatchId) -> bool:
         """Drop what `batch` spoke against the minion; return whether it is trusted now.
 
         Guards against jobs that can never be done: two of them in a row on each minion
@@ -75,7 +75,7 @@
         """
         self._failed_jobs.discard(batch)
         convicted = len(self._failed_jobs) >= FAILED_JOBS_TO_SUSPEND
-        if not self.suspected or not self._for_failures or convicted:
+        if not self.suspected or not self._suspended_for_failures or convicted:
             return False
         self._suspended_until = None
         self._suspension = timedelta()
@@ -84,7 +84,7 @@
     def suspend(self, now: timedelta) -> None:
         """Suspend the minion from `now` for another reason than failures."""
         self._suspend(now)
-        self._for_failures = False
+        self._suspended_for_failures = False
         self._failed_jobs.clear()
 
     def _suspend(self, now: timedelta) -> None:
--- a/src/brasstray/pool/minion_session.py
+++ b/src/brasstray/pool/minion_session.py
@@ -58,7 +58,7 @@
         timing: PoolTiming,
         group: TaskGroup,
         lag: LoopLag,
-        first_calls: anyio.Semaphore,
+        first_call_limiter: anyio.Semaphore,
     ) -> None:
         self._owner = owner
         self._minion = minion
@@ -68,15 +68,15 @@
         self._timing = timing
         self._group = group
         self._lag = lag
-        self._first_calls = first_calls
+        self._first_call_limiter = first_call_limiter
         self._lease = LeaseClock(timing)
         self._acknowledged = 0
         self._scope = anyio.CancelScope()
         self._unanswered_at: timedelta | None = None
         self._silent_since = timedelta(0)
-        self._newest_reply_ms = 0
-        self._answers = 0
-        self._unknown_starts: dict[tuple[TaskName, RunNumber], timedelta] = {}
+        self._newest_clock_ms = 0
+        self._answer_count = 0
+        self._unresolved_starts: dict[tuple[TaskName, RunNumber], timedelta] = {}
 
     @property
     def minion(self) -> Minion:
@@ -86,23 +86,23 @@
     def may_start_late(self, now: timedelta) -> bool:
         """Return whether a start whose outcome is unknown may still be carried out."""
         return any(
-            now - since < MAX_EFFECT_DELAY for since in self._unknown_starts.values()
+            now - since < MAX_EFFECT_DELAY for since in self._unresolved_starts.values()
         )
 
     async def run(self) -> None:
-        """Keep the minion until it has gone, a token fences us, or `end` is called."""
+        """Run the session until the minion is gone, this owner is fenced or `close`."""
         try:
             with self._scope:
                 await self._run()
         except MinionGoneError:
-            self._owner.lose_minion(self._minion, gone=True)
+            self._owner.end_runs_on(self._minion, gone=True)
         except FencedError:
             self._owner.depose()
         finally:
             with anyio.CancelScope(shield=True):
                 await self._calls.forget(self._minion.entry)
 
-    def end(self) -> None:
+    def close(self) -> None:
         """Stop probing: the minion has left the list for good."""
         self._scope.cancel()
 
@@ -110,7 +110,7 @@
         while True:
             try:
                 await self._reconcile()
-                await self._keep()
+                await self._maintain_lease()
             except MinionSilentError:
                 await self._await_expiry()
 
@@ -118,17 +118,17 @@
         # A start without a response may be carried out seconds later, while its task
         # runs elsewhere. Its own lease has expired, but a renewal would revive it. The
         # minion rejects it once a stop was answered, so stops precede the renewal.
-        await self._probe_in_turn()
-        for name, run in sorted(self._unknown_starts):
+        await self._probe_throttled()
+        for name, run in sorted(self._unresolved_starts):
             await self._call_stop(name, run)
-            self._unknown_starts.pop((name, run), None)
+            self._unresolved_starts.pop((name, run), None)
         if self._minion.reach is Reachability.UNREACHABLE:
             silent = self._clock.monotonic() - self._silent_since
-            self._owner.take_back(self._minion, silent)
+            self._owner.handle_return(self._minion, silent)
         self._minion.reach = Reachability.LEASED
-        self._owner.reach_minion(self._minion)
+        self._owner.record_reachability(self._minion)
 
-    async def _keep(self) -> None:
+    async def _maintain_lease(self) -> None:
         while True:
             try:
                 await self._probe(lease=True, wait=self._hold_wait())
@@ -146,8 +146,8 @@
         if not self._minion.runs:
             return timing.idle_hold_wait
         last = self._unanswered_at
-        if last is not None and self._clock.monotonic() - last < timing.shaky_for:
-            return timing.shaky_hold_wait
+        if last is not None and self._clock.monotonic() - last < timing.lossy_period:
+            return timing.lossy_hold_wait
         return timing.hold_wait
 
     async def _probe_again(self) -> None:
@@ -168,20 +168,20 @@
         if self._minion.reach is Reachability.LEASED:
             self._minion.reach = Reachability.UNREACHABLE
             self._silent_since = self._clock.monotonic()
-            self._owner.reach_minion(self._minion)
+            self._owner.record_reachability(self._minion)
         now = self._clock.monotonic()
         for key, record in self._minion.runs.items():
             if record.state in (RunState.STARTING, RunState.OUTCOME_UNKNOWN):
-                self._unknown_starts[key] = now
+                self._unresolved_starts[key] = now
         expired = False
         pause = self._timing.probe_backoff
         while True:
-            left = self._lease.expiry_wait(self._clock.monotonic())
+            left = self._lease.time_to_expiry(self._clock.monotonic())
             if left <= _NO_WAIT and not expired:
                 expired = await self._expire()
             try:
                 if expired or self._minion.reach is Reachability.UNPROBED:
-                    await self._probe_in_turn()
+                    await self._probe_throttled()
                 else:
                     await self._probe(lease=False, wait=_NO_WAIT)
             except MinionSilentError:
@@ -200,20 +200,20 @@
         Another call may be answered while the store is asked: then the minion lives,
         and the next probe shows what runs there.
         """
-        answers = self._answers
+        answers = self._answer_count
         now = self._clock.monotonic()
         reckoning = self._lease.reckoning(now)
         certain = not self._lease.may_be_extended(now)
         if certain and self._minion.runs:
-            certain = await self._owner.confirm()
-        if self._answers != answers:
+            certain = await self._owner.confirm_ownership()
+        if self._answer_count != answers:
             return False
-        self._owner.expire_minion(self._minion, reckoning, certain=certain)
+        self._owner.expire_runs_on(self._minion, reckoning, certain=certain)
         return True
 
-    async def _probe_in_turn(self) -> None:
+    async def _probe_throttled(self) -> None:
         """Probe a minion with which nothing is under way, a bounded number at once."""
-        async with self._first_calls:
+        async with self._first_call_limiter:
             await self._probe(lease=False, wait=_NO_WAIT)
 
     async def _probe(
@@ -224,7 +224,7 @@
         None means that a later probe was answered before this one.
         """
         sent = self._clock.monotonic()
-        until = self._lease.next_until(sent) if lease else None
+        until = self._lease.next_lease_until(sent) if lease else None
         try:
             reply = await self._calls.hold(
                 self._minion.entry,
@@ -236,22 +236,22 @@
             )
         except MinionSilentError:
             if lease:
-                self._lease.miss(sent)
+                self._lease.record_unanswered(sent)
             raise
-        self._answers += 1
+        self._answer_count += 1
         received = self._clock.monotonic()
-        if not self._lease.shown:
+        if not self._lease.clock_known:
             self._minion.fence(received + self._timing.stop_time)
-        self._lease.show(reply.clock_ms, sent, received)
+        self._lease.record_clock(reply.clock_ms, sent, received)
         # The next call acknowledges these ends, after the owner has reported them: a
         # successor must still see what was not reported.
         fresh = tuple(e for e in reply.ended if e.number > self._acknowledged)
         if fresh:
             self._acknowledged = max(ended.number for ended in fresh)
         # An overtaken reply shows runs as active whose end a newer one has listed.
-        overtaken = reply.clock_ms < self._newest_reply_ms
-        self._newest_reply_ms = max(self._newest_reply_ms, reply.clock_ms)
-        self._owner.see(self._minion, () if overtaken else reply.active, fresh)
+        overtaken = reply.clock_ms < self._newest_clock_ms
+        self._newest_clock_ms = max(self._newest_clock_ms, reply.clock_ms)
+        self._owner.apply_report(self._minion, () if overtaken else reply.active, fresh)
         return None if overtaken else {(run.task, run.run) for run in reply.active}
 
     def start(self, record: RunRecord, spec: str) -> None:
@@ -272,9 +272,9 @@
 
     async def _start(self, record: RunRecord, spec: str) -> None:
         sent = self._clock.monotonic()
-        until = self._lease.next_until(sent)
+        until = self._lease.next_lease_until(sent)
         try:
-            shown = await self._calls.start(
+            minion_clock_ms = await self._calls.start(
                 self._minion.entry,
                 self._token,
                 record.name,
@@ -284,26 +284,26 @@
                 self._timing.call_timeout + self._lag.allowance,
             )
         except StartRefusedError as error:
-            self._owner.take_refusal(self._minion, record, error.refusal)
+            self._owner.handle_refusal(self._minion, record, error.refusal)
         except MinionSilentError:
-            self._lease.miss(sent)
+            self._lease.record_unanswered(sent)
             if record.state is RunState.STARTING:
                 record.state = RunState.OUTCOME_UNKNOWN
                 self._owner.events.unanswered(self._minion, record)
-            await self._resolve(record)
+            await self._resolve_start(record)
         except MinionGoneError:
-            self._owner.lose_minion(self._minion, gone=True)
+            self._owner.end_runs_on(self._minion, gone=True)
         except FencedError:
             self._owner.depose()
         else:
-            self._answers += 1
-            self._lease.show(shown, sent, self._clock.monotonic())
+            self._answer_count += 1
+            self._lease.record_clock(minion_clock_ms, sent, self._clock.monotonic())
             if record.state is RunState.STARTING:
                 record.state = RunState.ACTIVE
             if record.task is None and record.state is RunState.ACTIVE:
                 self.stop(record)
 
-    async def _resolve(self, record: RunRecord) -> None:
+    async def _resolve_start(self, record: RunRecord) -> None:
         """Learn whether an unanswered start took effect, or have it rejected.
 
         The minion is probed first, as the run may be active behind a lost response.
@@ -318,7 +318,7 @@
         if record.state is RunState.OUTCOME_UNKNOWN:
             record.state = RunState.STOPPING
             key = record.name, record.run
-            self._unknown_starts[key] = self._clock.monotonic()
+            self._unresolved_starts[key] = self._clock.monotonic()
         if record.state is RunState.STOPPING:
             await self._stop(record)
         elif record.task is None:
@@ -329,7 +329,7 @@
         while key in self._minion.runs and self._minion.reach is not Reachability.GONE:
             try:
                 await self._call_stop(*key)
-                self._unknown_starts.pop(key, None)
+                self._unresolved_starts.pop(key, None)
                 await self._await_end(record)
             except MinionSilentError:
                 await self._clock.sleep(self._timing.probe_backoff)
@@ -348,12 +348,12 @@
             return
         active = await self._probe(lease=False, wait=_NO_WAIT)
         if active is not None and (record.name, record.run) not in active:
-            self._owner.confirm_stopped(self._minion, record)
+            self._owner.record_never_ran(self._minion, record)
 
     async def _call_stop(self, name: TaskName, run: RunNumber) -> None:
         timeout = self._timing.call_timeout + self._lag.allowance
         await self._calls.stop(self._minion.entry, self._token, name, run, timeout)
-        self._answers += 1
+        self._answer_count += 1
 
 
 __all__ = ["MinionSession"]
--- a/src/brasstray/pool/owner.py
+++ b/src/brasstray/pool/owner.py
@@ -67,7 +67,7 @@
         remote_factor: float,
         others: OtherPools,
         events: OwnerEvents,
-        confirm: Callable[[], Awaitable[bool]],
+        confirm_ownership: Callable[[], Awaitable[bool]],
         inherited: Iterable[MinionEntry] | None,
         evacuated: Callable[[], bool] = lambda: False,
     ) -> None:
@@ -77,10 +77,10 @@
         self._clock = clock
         self._timing = timing
         self._events = events
-        self._confirm = confirm
+        self._confirm_ownership = confirm_ownership
         self._inherited = list(inherited or ())
         self._durations = Durations(remote_factor)
-        self._roster = Roster(clock, timing, self._begin_session, self._forget_minion)
+        self._roster = Roster(clock, timing, self._open_session, self._forget_minion)
         self._health_monitor = HealthMonitor(lambda: self.minions, events)
         self._tasks = TaskRegistry(clock, events)
         self._recovery = Recovery(
@@ -111,7 +111,7 @@
             evacuated,
         )
         self._lag = LoopLag()
-        self._first_calls = anyio.Semaphore(MAX_CONCURRENT_FIRST_CALLS)
+        self._first_call_limiter = anyio.Semaphore(MAX_CONCURRENT_FIRST_CALLS)
         self._group: TaskGroup | None = None
         self._deposed = anyio.Event()
         self._dispatcher = Dispatcher(
@@ -162,7 +162,7 @@
             self._roster.inherit(self._inherited)
             group.start_soon(self._recover)
             group.start_soon(self._recovery.stop_orphans)
-            group.start_soon(self._watch_time)
+            group.start_soon(self._check_periodically)
             group.start_soon(self._dispatcher.run)
             try:
                 await self._deposed.wait()
@@ -170,7 +170,7 @@
                 # Messages still reach this object for a moment, and must not make it
                 # send orders under a token that has passed on.
                 self._deposed.set()
-                self._dispatcher.end()
+                self._dispatcher.close()
                 group.cancel_scope.cancel()
 
     def depose(self) -> None:
@@ -182,10 +182,10 @@
     def list_minions(self, entries: Iterable[MinionEntry]) -> None:
         """Take the minions that the store lists for this pool."""
         self._roster.update(entries)
-        self._recovery.mark_listed()
+        self._recovery.record_listed()
         self.dispatch()
 
-    def _begin_session(self, minion: Minion) -> MinionSession:
+    def _open_session(self, minion: Minion) -> MinionSession:
         assert self._group is not None
         session = MinionSession(
             self,
@@ -196,24 +196,24 @@
             self._timing,
             self._group,
             self._lag,
-            self._first_calls,
+            self._first_call_limiter,
         )
         self._group.start_soon(session.run)
         return session
 
     def _forget_minion(self, minion: Minion) -> None:
-        self.lose_minion(minion, gone=True)
+        self.end_runs_on(minion, gone=True)
         self._durations.forget(minion.entry.id)
 
     async def _recover(self) -> None:
         await self._recovery.recover()
         self.dispatch()
 
-    async def _watch_time(self) -> None:
+    async def _check_periodically(self) -> None:
         while True:
             due = self._clock.monotonic() + CHECK_INTERVAL
             await self._clock.sleep(CHECK_INTERVAL)
-            self._lag.note(self._clock.monotonic() - due)
+            self._lag.observe(self._clock.monotonic() - due)
             self._tasks.forget_old_ends()
             if any(step.waiting for step in self._tasks.steps):
                 self.review()
@@ -224,23 +224,23 @@
         """Take tasks, or claims to tasks that an earlier owner was given."""
         if self._deposed.is_set():
             return
-        step = self._tasks.take(requester, message)
+        step = self._tasks.get_or_add(requester, message)
         for index in message.indices:
-            self._take(step, index, claimed=message.claimed)
-        self._sharing.weigh(step.needs)
+            self._accept_task(step, index, claimed=message.claimed)
+        self._sharing.observe_demand(step.needs)
         self._tasks.forget_if_empty(step)
         self.review()
 
-    def _take(self, step: StepTasks, index: int, *, claimed: bool) -> None:
+    def _accept_task(self, step: StepTasks, index: int, *, claimed: bool) -> None:
         if index in step.tasks:
             return
         name = TaskName(step.batch, step.step, index)
-        if claimed and self._tasks.recall(name) is RunEnd.DONE:
-            self._tasks.tell_end(step, index, done=True)
+        if claimed and self._tasks.recent_end(name) is RunEnd.DONE:
+            self._tasks.report_end(step, index, done=True)
             return
         task = PoolTask(name, step, TaskPhase.CLAIMED, RunNumber(0))
         step.tasks[index] = task
-        found = self._run_of(name)
+        found = self._find_run(name)
         if found is not None:
             minion, record = found
             minion.adopt(record, task)
@@ -249,7 +249,7 @@
         elif self.recovered:
             self._recovery.resolve_claim(task)
 
-    def _run_of(self, name: TaskName) -> tuple[Minion, RunRecord] | None:
+    def _find_run(self, name: TaskName) -> tuple[Minion, RunRecord] | None:
         """Return a run of the task that goes on, or else one that is being stopped.
 
         A requester that was silent for too long may ask again while its runs are being
@@ -286,7 +286,7 @@
         self._tasks.drop(step, why)
         for session in self._roster.sessions:
             for record in list(session.minion.runs.values()):
-                if record.task is not None and record.task.of is step:
+                if record.task is not None and record.task.parent_step is step:
                     record.task = None
                     session.stop(record)
 
@@ -313,47 +313,47 @@
 
     # What minions tell
 
-    def see(
+    def apply_report(
         self,
         minion: Minion,
         active: tuple[ActiveRun, ...],
         ended: tuple[EndedRun, ...],
     ) -> None:
         """Take what `minion` tells of its runs."""
-        self._runs.see(minion, active, ended)
+        self._runs.apply_report(minion, active, ended)
         if ended:
             self.dispatch()
 
-    def take_refusal(
+    def handle_refusal(
         self, minion: Minion, record: RunRecord, refusal: StartRefusal
     ) -> None:
         """Take back a run that `minion` has not started."""
-        self._runs.refuse(minion, record, refusal)
+        self._runs.apply_refusal(minion, record, refusal)
         self.dispatch()
 
-    def confirm_stopped(self, minion: Minion, record: RunRecord) -> None:
+    def record_never_ran(self, minion: Minion, record: RunRecord) -> None:
         """Record that `record` was stopped and lists no end, so it never ran."""
-        self._runs.confirm_stopped(minion, record)
+        self._runs.record_never_ran(minion, record)
         self.dispatch()
 
-    def reach_minion(self, minion: Minion) -> None:
+    def record_reachability(self, minion: Minion) -> None:
         """Record that `minion` became reachable or unreachable."""
         self._events.reach_changed(minion)
         self.dispatch()
 
-    def take_back(self, minion: Minion, silent: timedelta) -> None:
+    def handle_return(self, minion: Minion, silent: timedelta) -> None:
         """Record that `minion` is about to be reachable after a silence."""
-        self._health_monitor.note_back(minion, silent, self._clock.monotonic())
+        self._health_monitor.record_return(minion, silent, self._clock.monotonic())
 
-    async def confirm(self) -> bool:
+    async def confirm_ownership(self) -> bool:
         """Return whether the store says that this owner still has the pool.
 
         A successor that this owner has not heard of may reach a minion that is
         unreachable here, and renew the leases there.
         """
-        return await self._confirm()
+        return await self._confirm_ownership()
 
-    def expire_minion(
+    def expire_runs_on(
         self, minion: Minion, reckoning: LeaseReckoning, *, certain: bool
     ) -> None:
         """Record that every lease on `minion` has expired.
@@ -365,9 +365,9 @@
             self._events.leases_expired(minion, reckoning, certain=certain)
             if not certain:
                 self._runs.give_up_all(minion)
-        self.lose_minion(minion, gone=False)
+        self.end_runs_on(minion, gone=False)
 
-    def lose_minion(self, minion: Minion, *, gone: bool) -> None:
+    def end_runs_on(self, minion: Minion, *, gone: bool) -> None:
         """Record that all runs on `minion` have ended."""
         if gone:
             minion.reach = Reachability.GONE
--- a/src/brasstray/pool/placement.py
+++ b/src/brasstray/pool/placement.py
@@ -42,7 +42,7 @@
     latest_start = step.due - expected
     if now <= latest_start:
         return (Rank.ON_TIME, not step.begun, latest_start.total_seconds())
-    rank = Rank.LATE if now + expected <= step.useful else Rank.STALE
+    rank = Rank.LATE if now + expected <= step.useful_until else Rank.STALE
     work = expected.total_seconds() * len(step.tasks)
     return (rank, not step.begun, work)
 
@@ -51,7 +51,7 @@
     task: PoolTask, minions: Iterable[Minion], durations: Durations, now: timedelta
 ) -> Minion | None:
     """Return the minion on which `task` is best started at `now`, if there is one."""
-    step = task.of
+    step = task.parent_step
     best, best_cost = None, 0.0
     for minion in minions:
         if not _may_run(task, minion, now):
@@ -71,7 +71,7 @@
 
 
 def _may_run(task: PoolTask, minion: Minion, now: timedelta) -> bool:
-    step, entry = task.of, minion.entry
+    step, entry = task.parent_step, minion.entry
     # The cheapest check goes first: most minions of a busy pool are full.
     if minion.free_cpu_millis < step.needs.cpu_millis:
         return False
--- a/src/brasstray/pool/pool_task.py
+++ b/src/brasstray/pool/pool_task.py
@@ -30,7 +30,7 @@
     """Hold a task, its step, and what its runs have shown."""
 
     name: TaskName
-    of: StepTasks
+    parent_step: StepTasks
     phase: TaskPhase
     last_run: RunNumber
     failures: int = 0
--- a/src/brasstray/pool/recovery.py
+++ b/src/brasstray/pool/recovery.py
@@ -61,7 +61,7 @@
         """Return whether an orphaned run that is found now is stopped."""
         return self.recovered or self._claims_closed
 
-    def mark_listed(self) -> None:
+    def record_listed(self) -> None:
         """Record that the list of minions has been read."""
         self._listed.set()
 
@@ -69,7 +69,7 @@
         """Wait until every minion has reported its runs, or had time to."""
         await self._listed.wait()
         deadline = self._clock.monotonic() + self._timing.recovery_timeout
-        while not self._all_known:
+        while not self._all_runs_known:
             if self._clock.monotonic() >= deadline and not self._all_reached:
                 break
             await self._clock.sleep(_POLL_INTERVAL)
@@ -97,7 +97,7 @@
         Return whether it was queued. The task may still run on a minion that only the
         previous owner reaches, or that only its list names: its outcome is unknown.
         """
-        if self._minions_known and self._all_known:
+        if self._minions_known and self._all_runs_known:
             self._tasks.queue(task)
             return True
         self._tasks.give_up(task)
@@ -122,10 +122,10 @@
         return all(m.reach is not Reachability.UNPROBED for m in self._roster.minions)
 
     @property
-    def _all_known(self) -> bool:
+    def _all_runs_known(self) -> bool:
         """Return whether everything that may be active on the minions is known."""
         now = self._clock.monotonic()
-        return all(minion.is_known(now) for minion in self._roster.minions)
+        return all(minion.runs_known(now) for minion in self._roster.minions)
 
 
 __all__ = ["Recovery"]
--- a/src/brasstray/pool/roster.py
+++ b/src/brasstray/pool/roster.py
@@ -18,19 +18,22 @@
 
 
 class Roster:
-    """Hold a session per minion, begun by `begin`; report lost minions to `lose`."""
+    """Hold a session for each known minion.
+
+    `open_session` starts one, and `on_removed` is called for each minion removed.
+    """
 
     def __init__(
         self,
         clock: Clock,
         timing: PoolTiming,
-        begin: Callable[[Minion], MinionSession],
-        lose: Callable[[Minion], None],
+        open_session: Callable[[Minion], MinionSession],
+        on_removed: Callable[[Minion], None],
     ) -> None:
         self._clock = clock
         self._timing = timing
-        self._begin = begin
-        self._lose = lose
+        self._open_session = open_session
+        self._on_removed = on_removed
         self._sessions: dict[MinionId, MinionSession] = {}
         self._missing_since: dict[MinionId, timedelta] = {}
 
@@ -68,7 +71,7 @@
             if session is None:
                 self._add(entry)
             else:
-                session.minion.take_entry(entry, now)
+                session.minion.update_entry(entry, now)
             self._missing_since.pop(minion_id, None)
         for minion_id in [known for known in self._sessions if known not in listed]:
             since = self._missing_since.setdefault(minion_id, now)
@@ -79,8 +82,8 @@
 
     def _add(self, entry: MinionEntry) -> None:
         minion = Minion(entry)
-        minion.take_entry(entry, self._clock.monotonic())
-        self._sessions[entry.id] = self._begin(minion)
+        minion.update_entry(entry, self._clock.monotonic())
+        self._sessions[entry.id] = self._open_session(minion)
 
     def _remove(self, minion_id: MinionId, now: timedelta) -> None:
         session = self._sessions[minion_id]
@@ -93,8 +96,8 @@
             # know of none, and its first lease would let them run.
             if session.may_start_late(now):
                 return
-        self._lose(session.minion)
-        session.end()
+        self._on_removed(session.minion)
+        session.close()
         del self._sessions[minion_id]
         del self._missing_since[minion_id]
 
--- a/src/brasstray/pool/run_tracker.py
+++ b/src/brasstray/pool/run_tracker.py
@@ -56,7 +56,7 @@
         self._claims_closed = claims_closed
         self._stop = stop
 
-    def see(
+    def apply_report(
         self,
         minion: Minion,
         active: tuple[ActiveRun, ...],
@@ -66,27 +66,27 @@
         for end in ended:
             record = minion.runs.get((end.task, end.run))
             if record is None:
-                self._note_unowned_end(end.task, end.end)
+                self._record_unclaimed_end(end.task, end.end)
             else:
-                self._end(minion, record, end.end)
+                self._apply_end(minion, record, end.end)
         for run in active:
-            self._see_active(minion, run)
+            self._apply_active(minion, run)
         now = self._clock.monotonic()
         for record in list(minion.runs.values()):
             if self._health_monitor.should_stop(minion, record, now):
                 # The task waits until the end is listed, so that it never runs twice.
                 self._stop(minion, record)
 
-    def _see_active(self, minion: Minion, run: ActiveRun) -> None:
+    def _apply_active(self, minion: Minion, run: ActiveRun) -> None:
         record = minion.runs.get((run.task, run.run))
         if record is not None:
             record.percent = run.percent
             if record.state in (RunState.STARTING, RunState.OUTCOME_UNKNOWN):
                 record.state = RunState.ACTIVE
         elif not minion.has_ended(run.task, run.run):
-            self._take_unknown(minion, run)
+            self._add_unknown_run(minion, run)
 
-    def _take_unknown(self, minion: Minion, run: ActiveRun) -> None:
+    def _add_unknown_run(self, minion: Minion, run: ActiveRun) -> None:
         """Take a run that this owner did not start, or took for ended.
 
         It becomes the run of its task unless that has another; if it is orphaned, it is
@@ -111,48 +111,50 @@
         elif self._claims_closed():
             self._stop(minion, record)
 
-    def _end(self, minion: Minion, record: RunRecord, end: RunEnd) -> None:
+    def _apply_end(self, minion: Minion, record: RunRecord, end: RunEnd) -> None:
         minion.remove(record)
         if end is RunEnd.DONE:
-            self._health_monitor.note_done(minion)
-        self._take_end(minion, record, end)
+            self._health_monitor.record_done(minion)
+        self._handle_end(minion, record, end)
 
-    def _take_end(self, minion: Minion, record: RunRecord, end: RunEnd) -> None:
+    def _handle_end(self, minion: Minion, record: RunRecord, end: RunEnd) -> None:
         self._events.ended(minion, record, end)
         task = record.task
         if task is None:
-            self._note_unowned_end(record.name, end)
+            self._record_unclaimed_end(record.name, end)
             return
         match end:
             case RunEnd.DONE:
-                self._learn(minion, record, task)
+                self._learn_duration(minion, record, task)
                 self._tasks.finish(task, done=True)
             case RunEnd.FAILED:
-                self._fail(minion, task)
+                self._handle_failure(minion, task)
             case _:
                 self._tasks.queue(task)
 
-    def _learn(self, minion: Minion, record: RunRecord, task: PoolTask) -> None:
+    def _learn_duration(
+        self, minion: Minion, record: RunRecord, task: PoolTask
+    ) -> None:
         if not record.expected or record.cold:
             # A run on a minion that was slow after its start tells neither how long
             # the queue's tasks take nor how fast the minion is once it is warm.
             return
         where = minion.entry.id
         took = self._clock.monotonic() - record.began
-        task.of.paces[where] = took / record.expected
-        self._durations.learn(task.of, where, record.expected, took)
+        task.parent_step.slowdowns[where] = took / record.expected
+        self._durations.learn(task.parent_step, where, record.expected, took)
 
-    def _fail(self, minion: Minion, task: PoolTask) -> None:
-        self._health_monitor.note_failed(minion, task, self._clock.monotonic())
-        if task.failures >= task.of.attempts:
-            self._health_monitor.note_failed_everywhere(task)
+    def _handle_failure(self, minion: Minion, task: PoolTask) -> None:
+        self._health_monitor.record_failed(minion, task, self._clock.monotonic())
+        if task.failures >= task.parent_step.attempts:
+            self._health_monitor.record_failed_everywhere(task)
             self._tasks.finish(task, done=False)
         else:
             self._tasks.queue(task)
 
-    def _note_unowned_end(self, name: TaskName, end: RunEnd) -> None:
+    def _record_unclaimed_end(self, name: TaskName, end: RunEnd) -> None:
         """Keep the end of a run without a task, or end the task that claims it."""
-        self._tasks.remember(name, end)
+        self._tasks.remember_end(name, end)
         task = self._tasks.find(name)
         if task is None or task.phase is not TaskPhase.CLAIMED:
             return
@@ -161,13 +163,15 @@
         if end is RunEnd.DONE:
             self._tasks.finish(task, done=True)
 
-    def refuse(self, minion: Minion, record: RunRecord, refusal: StartRefusal) -> None:
+    def apply_refusal(
+        self, minion: Minion, record: RunRecord, refusal: StartRefusal
+    ) -> None:
         """Take back a run that `minion` has not started."""
         if not minion.remove(record):
             return
         self._events.refused(minion, record, refusal)
         if refusal is StartRefusal.UNHEALTHY:
-            self._health_monitor.note_unhealthy(minion, self._clock.monotonic())
+            self._health_monitor.record_unhealthy(minion, self._clock.monotonic())
         task = record.task
         if task is None:
             return
@@ -176,14 +180,14 @@
                 task.last_run = RunNumber(task.last_run + RUN_NUMBER_SKIP)
             case StartRefusal.MALFORMED:
                 task.failures += 1
-                if task.failures >= task.of.attempts:
+                if task.failures >= task.parent_step.attempts:
                     self._tasks.finish(task, done=False)
                     return
             case _:
                 task.avoided.add(minion.entry.id)
         self._tasks.queue(task)
 
-    def confirm_stopped(self, minion: Minion, record: RunRecord) -> None:
+    def record_never_ran(self, minion: Minion, record: RunRecord) -> None:
         """Record that `record` was stopped and lists no end, so it never ran."""
         if minion.remove(record):
             self._events.ended(minion, record, RunEnd.STOPPED)
@@ -193,15 +197,15 @@
     def give_up_all(self, minion: Minion) -> None:
         """Return the tasks of all runs on `minion`: they may be active there."""
         for record in list(minion.runs.values()):
-            minion.lose(record)
+            minion.release(record)
             if record.task is not None:
                 self._tasks.give_up(record.task)
 
     def expire_all(self, minion: Minion) -> None:
         """Record that all leases on `minion` have expired, and all runs with them."""
         for record in list(minion.runs.values()):
-            minion.lose(record)
-            self._take_end(minion, record, RunEnd.EXPIRED)
+            minion.release(record)
+            self._handle_end(minion, record, RunEnd.EXPIRED)
 
 
 __all__ = ["RunTracker"]
--- a/src/brasstray/pool/step_tasks.py
+++ b/src/brasstray/pool/step_tasks.py
@@ -19,10 +19,11 @@
 class StepTasks:
     """Hold what the tasks of one step of a job have in common.
 
-    `due` is when the job's objective ends, `useful` until when a late answer is of some
-    use, and `limit` when its caller leaves, all on the steady clock. `forwarded` marks
-    tasks that came from another pool and stay here. `paces` holds, by minion, actual
-    over expected durations of the tasks seen there.
+    `due` is the deadline of the job's objective, `useful_until` the time up to which a
+    late answer still has some value, and `limit` the time at which the caller gives up;
+    all are monotonic times. `forwarded` marks tasks that came from another pool and are
+    not forwarded again. `slowdowns` maps minions to the ratio of actual to expected
+    duration of the tasks observed there.
     """
 
     batch: BatchId
@@ -34,7 +35,7 @@
     estimate: timedelta
     arrived: timedelta
     due: timedelta
-    useful: timedelta
+    useful_until: timedelta
     limit: timedelta
     priority: int
     attempts: int
@@ -45,13 +46,13 @@
     queue: str
     width: int
     begun: bool = False
-    paces: dict[MinionId, float] = field(default_factory=dict)
+    slowdowns: dict[MinionId, float] = field(default_factory=dict)
     tasks: dict[int, PoolTask] = field(default_factory=dict)
     waiting: list[PoolTask] = field(default_factory=list)
 
-    def pace_elsewhere(self, minion: MinionId) -> float | None:
+    def best_slowdown_elsewhere(self, minion: MinionId) -> float | None:
         """Return the best pace of tasks on other minions, if any was seen."""
-        others = [ratio for where, ratio in self.paces.items() if where != minion]
+        others = [ratio for where, ratio in self.slowdowns.items() if where != minion]
         return min(others, default=None)
 
 
--- a/src/brasstray/pool/straggling.py
+++ b/src/brasstray/pool/straggling.py
@@ -20,7 +20,7 @@
 MIN_RESTART_GAIN = 1.2
 
 
-def straggles(record: RunRecord, now: timedelta, siblings: float | None) -> bool:
+def is_straggler(record: RunRecord, now: timedelta, siblings: float | None) -> bool:
     """Return whether `record` will take far longer than its kind, and a restart helps.
 
     `siblings` is the ratio of actual to expected durations of tasks of the same step
@@ -29,7 +29,7 @@
     elapsed = now - record.began
     if not record.expected or elapsed < MIN_OBSERVATION:
         return False
-    ratio = pace(record, now)
+    ratio = slowdown(record, now)
     if siblings is None:
         if ratio <= MAX_SLOWDOWN:
             return False
@@ -39,7 +39,7 @@
     return remaining > record.expected * (siblings or 1.0) * MIN_RESTART_GAIN
 
 
-def pace(record: RunRecord, now: timedelta) -> float:
+def slowdown(record: RunRecord, now: timedelta) -> float:
     """Return how long `record` will take at least, in multiples of what was expected.
 
     Progress is told in whole percents, rounded down, so up to one more may be done.
@@ -48,4 +48,4 @@
     return whole / record.expected
 
 
-__all__ = ["SIBLINGS_TIMEOUT", "pace", "straggles"]
+__all__ = ["SIBLINGS_TIMEOUT", "is_straggler", "slowdown"]
--- a/src/brasstray/pool/task_registry.py
+++ b/src/brasstray/pool/task_registry.py
@@ -46,13 +46,13 @@
         """Return the steps of which a task has not ended."""
         return list(self._steps.values())
 
-    def take(self, requester: Requester, message: RunTasks) -> StepTasks:
+    def get_or_add(self, requester: Requester, message: RunTasks) -> StepTasks:
         """Return the step that `message` asks for, whoever asked for it before."""
         key = (message.batch, message.step)
         step = self._steps.get(key)
         if step is None:
             now = self._clock.monotonic()
-            step = self._steps[key] = _step_of(requester, message, now)
+            step = self._steps[key] = _step_from(requester, message, now)
         # A caller may send a job again through another host while the first one lives:
         # it stays one job, and the later host is answered.
         step.requester = requester
@@ -72,22 +72,22 @@
     def queue(self, task: PoolTask) -> None:
         """Let `task` wait for a start."""
         task.phase = TaskPhase.WAITING
-        task.of.waiting.append(task)
+        task.parent_step.waiting.append(task)
 
     def unqueue(self, task: PoolTask) -> None:
         """Let `task` wait for a start no more, if it does."""
         if task.phase is TaskPhase.WAITING:
-            task.of.waiting.remove(task)
+            task.parent_step.waiting.remove(task)
 
     def finish(self, task: PoolTask, *, done: bool) -> None:
         """Tell the requester how `task` ended, and forget it."""
-        step = task.of
+        step = task.parent_step
         del step.tasks[task.name.index]
-        self.remember(task.name, RunEnd.DONE if done else RunEnd.FAILED)
-        self.tell_end(step, task.name.index, done=done)
+        self.remember_end(task.name, RunEnd.DONE if done else RunEnd.FAILED)
+        self.report_end(step, task.name.index, done=done)
         self.forget_if_empty(step)
 
-    def tell_end(self, step: StepTasks, index: int, *, done: bool) -> None:
+    def report_end(self, step: StepTasks, index: int, *, done: bool) -> None:
         """Tell the requester of `step` how one of its tasks ended."""
         message = TasksEnded(
             batch=step.batch,
@@ -104,7 +104,7 @@
 
     def give_up(self, task: PoolTask) -> None:
         """Return a task that may run on an unreachable minion."""
-        step, index = task.of, task.name.index
+        step, index = task.parent_step, task.name.index
         del step.tasks[index]
         self._events.dropped(step, "outcome_unknown")
         step.requester.tell(
@@ -114,12 +114,12 @@
         )
         self.forget_if_empty(step)
 
-    def recall(self, name: TaskName) -> RunEnd | None:
+    def recent_end(self, name: TaskName) -> RunEnd | None:
         """Return how `name` ended, if it did so in the last seconds."""
         recent = self._recent.get(name)
         return recent.end if recent is not None else None
 
-    def remember(self, name: TaskName, end: RunEnd) -> None:
+    def remember_end(self, name: TaskName, end: RunEnd) -> None:
         """Keep how a run of `name` ended, for whoever may claim the task."""
         self._recent.pop(name, None)
         self._recent[name] = _RecentEnd(end, self._clock.monotonic())
@@ -139,7 +139,7 @@
             self._steps.pop((step.batch, step.step), None)
 
 
-def _step_of(requester: Requester, message: RunTasks, now: timedelta) -> StepTasks:
+def _step_from(requester: Requester, message: RunTasks, now: timedelta) -> StepTasks:
     return StepTasks(
         batch=message.batch,
         step=message.step,
@@ -150,7 +150,7 @@
         estimate=max(1, message.estimate_ms) * _MILLISECOND,
         arrived=now,
         due=now + message.due_ms * _MILLISECOND,
-        useful=now + message.useful_ms * _MILLISECOND,
+        useful_until=now + message.useful_ms * _MILLISECOND,
         limit=now + message.limit_ms * _MILLISECOND,
         priority=message.priority,
         attempts=message.attempts,
--- a/src/brasstray/pool/timing.py
+++ b/src/brasstray/pool/timing.py
@@ -23,7 +23,7 @@
       runs; also how soon a minion that has died is found out. An end answers a hold at
       once, so that longer waits only save calls; a quarter of the lease leaves the rest
       to a takeover.
-    - `shaky_hold_wait`: the same for `shaky_for` after an answer was lost.
+    - `lossy_hold_wait`: the same for `lossy_period` after an answer was lost.
     - `call_timeout`, `probe_timeout`: how long a start, a stop or the answer to a probe
       may take.
     - `recovery_timeout`: how long a new owner waits for unreachable minions.
@@ -42,8 +42,8 @@
     clock_rate_error: float = 0.02
     hold_wait: timedelta = _ms(200)
     idle_hold_wait: timedelta = _ms(400)
-    shaky_hold_wait: timedelta = _ms(30)
-    shaky_for: timedelta = _ms(3_000)
+    lossy_hold_wait: timedelta = _ms(30)
+    lossy_period: timedelta = _ms(3_000)
     call_timeout: timedelta = _ms(60)
     probe_timeout: timedelta = _ms(60)
     recovery_timeout: timedelta = _ms(300)
--- a/tests/pool/test_cold_minions.py
+++ b/tests/pool/test_cold_minions.py
@@ -43,7 +43,7 @@
 def cold(made, left_ms):
     entry = made.entry
     fields = {name: getattr(entry, name) for name in entry.__dataclass_fields__}
-    made.take_entry(MinionEntry(**{**fields, "cold_left_ms": left_ms}), NOW)
+    made.update_entry(MinionEntry(**{**fields, "cold_left_ms": left_ms}), NOW)
     return made
 
 
@@ -101,7 +101,9 @@
     )
     record = at_work(where, made)
     clock.now += ms(300)
-    tracker.see(where, (), (EndedRun(1, record.name, record.run, RunEnd.DONE),))
+    tracker.apply_report(
+        where, (), (EndedRun(1, record.name, record.run, RunEnd.DONE),)
+    )
     assert durations.ratio(step(), None, ()) == pytest.approx(ratio, abs=0.1)
     learned = durations.ratio(step(), MinionId("a"), ())
     assert (learned > 1.0) == (left_ms == 0)
--- a/tests/pool/test_lease_clock.py
+++ b/tests/pool/test_lease_clock.py
@@ -31,21 +31,21 @@
     missed, answered, now, may_be_extended
 ):
     lease = LeaseClock(PoolTiming())
-    lease.show(5_000, ms(0), ms(2))
-    lease.miss(ms(missed))
+    lease.record_clock(5_000, ms(0), ms(2))
+    lease.record_unanswered(ms(missed))
     if answered is not None:
         sent, received = answered
-        lease.show(5_100, ms(sent), ms(received))
+        lease.record_clock(5_100, ms(sent), ms(received))
     assert lease.may_be_extended(ms(now)) is may_be_extended
 
 
 @pytest.mark.parametrize(("now", "left"), [(402, 816.3), (802, 416.3), (2_400, 0)])
 def test_leases_expire_for_sure_by_the_slowest_clock(now, left):
     lease = LeaseClock(PoolTiming())
-    lease.show(5_000, ms(0), ms(2))
-    lease.show(5_400, ms(400), ms(402))
-    assert lease.next_until(ms(402)) == 6_200
-    assert abs(lease.expiry_wait(ms(now)) / ms(1) - left) < 0.1
+    lease.record_clock(5_000, ms(0), ms(2))
+    lease.record_clock(5_400, ms(400), ms(402))
+    assert lease.next_lease_until(ms(402)) == 6_200
+    assert abs(lease.time_to_expiry(ms(now)) / ms(1) - left) < 0.1
 
 
 @pytest.mark.parametrize("asked", [False, True], ids=["none asked for", "asked for"])
@@ -53,12 +53,12 @@
 def test_the_longest_lease_counts_from_the_first_answer(asked, now, left):
     # An earlier owner may have asked for any lease until the minion saw our token.
     lease = LeaseClock(PoolTiming())
-    lease.show(5_000, ms(0), ms(2))
+    lease.record_clock(5_000, ms(0), ms(2))
     if asked:
-        lease.next_until(ms(2))
-    assert abs(lease.expiry_wait(ms(now)) / ms(1) - left) < 0.1
+        lease.next_lease_until(ms(2))
+    assert abs(lease.time_to_expiry(ms(now)) / ms(1) - left) < 0.1
 
 
 @pytest.mark.parametrize("now", [0, 2_000, 20_000])
 def test_no_lease_expires_on_a_minion_that_has_never_answered(now):
-    assert LeaseClock(PoolTiming()).expiry_wait(ms(now)) > ms(0)
+    assert LeaseClock(PoolTiming()).time_to_expiry(ms(now)) > ms(0)
--- a/tests/pool/test_loop_lag.py
+++ b/tests/pool/test_loop_lag.py
@@ -28,5 +28,5 @@
 def test_the_allowance_follows_the_largest_recent_lag(lateness, least, most):
     lag = LoopLag()
     for late in lateness:
-        lag.note(ms(late))
+        lag.observe(ms(late))
     assert ms(least) <= lag.allowance <= min(ms(most), MAX_ALLOWANCE)
--- a/tests/pool/test_placement.py
+++ b/tests/pool/test_placement.py
@@ -30,7 +30,7 @@
     return timedelta(milliseconds=count)
 
 
-def step(due=500, estimate=60, *, width=1, begun=False, useful=1_500, **changes):
+def step(due=500, estimate=60, *, width=1, begun=False, useful_until=1_500, **changes):
     made = StepTasks(
         batch=BatchId("a" * 16),
         step=0,
@@ -41,7 +41,7 @@
         estimate=ms(estimate),
         arrived=NOW,
         due=NOW + ms(due),
-        useful=NOW + ms(useful),
+        useful_until=NOW + ms(useful_until),
         limit=NOW + ms(3_000),
         priority=0,
         attempts=3,
@@ -109,7 +109,7 @@
         # An answer of little use goes last, whatever it takes.
         (
             step(due=-50, estimate=900),
-            step(due=-900, estimate=60, useful=-10, begun=True),
+            step(due=-900, estimate=60, useful_until=-10, begun=True),
         ),
     ],
 )
--- a/tests/pool/test_straggling.py
+++ b/tests/pool/test_straggling.py
@@ -10,7 +10,7 @@
 from brasstray.batch.resources import Resources
 from brasstray.batch.task_name import TaskName
 from brasstray.pool.run_record import RunRecord, RunState
-from brasstray.pool.straggling import straggles
+from brasstray.pool.straggling import is_straggler
 
 EXPECTED = timedelta(milliseconds=200)
 
@@ -47,9 +47,9 @@
 )
 def test_a_run_is_judged_by_its_progress(elapsed_ms, percent, siblings, verdict):
     now = timedelta(milliseconds=elapsed_ms)
-    assert straggles(record(percent), now, siblings) is verdict
+    assert is_straggler(record(percent), now, siblings) is verdict
 
 
 def test_a_run_of_an_earlier_owner_is_not_judged():
     # Nobody knows when it began or what it was expected to take.
-    assert not straggles(record(0, timedelta(0)), timedelta(seconds=9), None)
+    assert not is_straggler(record(0, timedelta(0)), timedelta(seconds=9), None)
--- a/tests/pool/test_takeover.py
+++ b/tests/pool/test_takeover.py
@@ -139,7 +139,7 @@
         pool.book.works[TASK] = Work(Resources(), ms(600))
         place = pool.places[minion.entry.id]
         place.start(minion.entry, FencingToken(1), TASK, RunNumber(7), 10**6)
-        owner.see(minion, (ActiveRun(TASK, RunNumber(7), 10),), ())
+        owner.apply_report(minion, (ActiveRun(TASK, RunNumber(7), 10),), ())
         await pool.clock.sleep(SECOND)
         return asked
 
--- a/tests/pool/test_task_registry.py
+++ b/tests/pool/test_task_registry.py
@@ -72,7 +72,7 @@
 
     async def story():
         registry = TaskRegistry(LoopClock(), Silent())
-        step = registry.take(requester, request(len(ends)))
+        step = registry.get_or_add(requester, request(len(ends)))
         for index in range(len(ends)):
             name = TaskName(JOB, 0, index)
             step.tasks[index] = PoolTask(name, step, TaskPhase.PLACED, RunNumber(1))
