--- a/src/brasstray/pool/dispatcher.py
+++ b/src/brasstray/pool/dispatcher.py
@@ -109,11 +109,11 @@
         if self._evacuated():
             self._sharing.evacuate(waiting, now)
             return
-        smallest = min(step.needs.cpu_millis for step in waiting)
+        min_cpu_millis = min(step.needs.cpu_millis for step in waiting)
         minions = [
             minion
             for minion in self._roster.minions
-            if minion.free_cpu_millis >= smallest and minion.usable(now)
+            if minion.free_cpu_millis >= min_cpu_millis and minion.usable(now)
         ]
         # Sorting a long queue at every end, while nothing can start, would saturate an
         # overloaded owner.
--- a/src/brasstray/pool/health_monitor.py
+++ b/src/brasstray/pool/health_monitor.py
@@ -52,9 +52,9 @@
             # Slow as announced: stopping its runs would waste their work, and minions
             # suspected for it would be missing when a data centre comes back cold.
             return False
-        step, where = task.parent_step, minion.entry.id
-        siblings = step.best_slowdown_elsewhere(where)
-        step.slowdowns[where] = slowdown(record, now)
+        step, minion_id = task.parent_step, minion.entry.id
+        siblings = step.best_slowdown_elsewhere(minion_id)
+        step.slowdowns[minion_id] = slowdown(record, now)
         if siblings is None and self._awaiting_siblings(record, now):
             return False
         # A task is restarted for its pace once only: if it is as slow elsewhere, it is
@@ -62,7 +62,7 @@
         if task.straggled or not is_straggler(record, now, siblings):
             return False
         task.straggled = True
-        task.avoided.add(where)
+        task.avoided.add(minion_id)
         if not minion.health.suspected:
             minion.health.suspend(now)
             self._events.suspected(minion, Evidence.STRAGGLING)
@@ -108,9 +108,9 @@
         ]
         minions = self._minions()
         unreachable = sum(one.reach is Reachability.UNREACHABLE for one in minions)
-        together = unreachable + len(self._recent_returns)
+        affected = unreachable + len(self._recent_returns)
         self._recent_returns.append(now)
-        if together >= SHARED_OUTAGE_FRACTION * len(minions):
+        if affected >= SHARED_OUTAGE_FRACTION * len(minions):
             return
         minion.health.suspend(now)
         self._events.suspected(minion, Evidence.SILENCE)
--- a/src/brasstray/pool/lease_clock.py
+++ b/src/brasstray/pool/lease_clock.py
@@ -70,8 +70,8 @@
     def next_lease_until(self, now: timedelta) -> int:
         """Return the lease to ask for at `now`, and record that it may be granted."""
         assert self._clock_ms is not None
-        passed = (now - self._clock_read_at + self._timing.lease) // _MILLISECOND
-        until = self._clock_ms + passed
+        offset = (now - self._clock_read_at + self._timing.lease) // _MILLISECOND
+        until = self._clock_ms + offset
         self._latest_until_ms = max(self._latest_until_ms, until)
         self._lease_requested = True
         return until
@@ -83,17 +83,17 @@
         """
         if self._clock_ms is None:
             return self._timing.longest_lease
-        left = (self._latest_until_ms - self._clock_ms) * _MILLISECOND
+        remaining = (self._latest_until_ms - self._clock_ms) * _MILLISECOND
         slowest = 1 - self._timing.clock_rate_error
-        return max(timedelta(0), left / slowest - (now - self._clock_read_at))
+        return max(timedelta(0), remaining / slowest - (now - self._clock_read_at))
 
     def reckoning(self, now: timedelta) -> LeaseReckoning:
         """Return what is known of the leases at `now`."""
         if self._clock_ms is None:
             return LeaseReckoning(self._lease_requested, None, None, timedelta(0))
-        ago = now - self._clock_read_at
+        clock_age = now - self._clock_read_at
         return LeaseReckoning(
-            self._lease_requested, self._latest_until_ms, self._clock_ms, ago
+            self._lease_requested, self._latest_until_ms, self._clock_ms, clock_age
         )
 
 
--- a/src/brasstray/pool/load_sharing.py
+++ b/src/brasstray/pool/load_sharing.py
@@ -60,17 +60,17 @@
             self._mean_task_cpu = cpu
         self._mean_task_cpu += TASK_SIZE_SMOOTHING * (cpu - self._mean_task_cpu)
 
-    def forward_or_reject(self, left: list[StepTasks], now: timedelta) -> None:
+    def forward_or_reject(self, waiting_steps: list[StepTasks], now: timedelta) -> None:
         """Forward waiting tasks to pools with free slots, or reject them.
 
         `left` is in the order in which steps will get capacity.
         """
-        if not left:
+        if not waiting_steps:
             return
         loads = self._others.loads()
         capacity = self._leased_cpu()
         wait = timedelta(0)
-        for step in left:
+        for step in waiting_steps:
             expected = self._durations.expected(step, None, ())
             if not step.forwarded:
                 self._fill_free_slots(step, loads)
@@ -89,7 +89,7 @@
             self._forward(step, count, pool)
             loads[pool] = replace(load, free_slots=load.free_slots - count)
 
-    def evacuate(self, left: list[StepTasks], now: timedelta) -> None:
+    def evacuate(self, waiting_steps: list[StepTasks], now: timedelta) -> None:
         """Send all waiting tasks to other pools, as none may start here.
 
         Guards against jobs that wait out their time in an evacuated data centre: also
@@ -97,7 +97,7 @@
         other pool they are rejected at once.
         """
         loads = self._others.loads()
-        for step in left:
+        for step in waiting_steps:
             if loads:
                 self._fill_free_slots(step, loads)
                 self._queue_elsewhere(step, loads)
@@ -111,10 +111,12 @@
         count = len(step.waiting)
         expected = self._durations.expected(step, None, ())
         # The other pools are taken to be as large as this one.
-        each = expected * step.needs.cpu_millis / max(1, self._leased_cpu())
+        wait_per_task = expected * step.needs.cpu_millis / max(1, self._leased_cpu())
         pool = min(
             loads,
-            key=lambda p: loads[p].wait_ms * _MILLISECOND + loads[p].excess * each,
+            key=lambda p: (
+                loads[p].wait_ms * _MILLISECOND + loads[p].excess * wait_per_task
+            ),
         )
         self._forward(step, count, pool)
         load = loads[pool]
@@ -152,8 +154,8 @@
         """
         if step.begun:
             return False
-        whole = len(step.tasks) == step.width
-        return end > (min(step.useful_until, step.limit) if whole else step.limit)
+        complete = len(step.tasks) == step.width
+        return end > (min(step.useful_until, step.limit) if complete else step.limit)
 
     def _reject(self, step: StepTasks, wait: timedelta) -> None:
         evacuated = self._evacuated()
@@ -190,10 +192,10 @@
         if waiting:
             return PoolLoad(0, round(1_000 * waiting / max(1, self._leased_cpu())))
         # Before the first request nothing is known of the size of tasks.
-        typical = round(
+        slot_cpu = round(
             (self._mean_task_cpu or DEFAULT_TASK_CPU_MILLIS) * SLOT_SIZE_MARGIN
         )
-        return PoolLoad(sum(m.free_cpu_millis // typical for m in usable), 0)
+        return PoolLoad(sum(m.free_cpu_millis // slot_cpu for m in usable), 0)
 
     def _leased_cpu(self) -> int:
         return sum(
--- a/src/brasstray/pool/minion.py
+++ b/src/brasstray/pool/minion.py
@@ -162,8 +162,8 @@
             return False
         if not self.runs_known(now):
             return False
-        most = self.health.max_runs(now)
-        return most is None or len(self.runs) < most
+        limit = self.health.max_runs(now)
+        return limit is None or len(self.runs) < limit
 
 
 __all__ = ["Minion", "Reachability"]
--- a/src/brasstray/pool/minion_health.py
+++ b/src/brasstray/pool/minion_health.py
@@ -51,11 +51,11 @@
 
     def record_success(self) -> bool:
         """Note a run that ended well; return whether the minion was suspected."""
-        was = self.suspected
+        was_suspected = self.suspected
         self._failed_jobs.clear()
         self._suspended_until = None
         self._suspension = timedelta()
-        return was
+        return was_suspected
 
     def record_failure(self, batch: BatchId, now: timedelta) -> bool:
         """Note a run that failed; return whether the minion is suspected for it."""
@@ -74,8 +74,8 @@
         the minion is at fault shows only once the job has failed everywhere.
         """
         self._failed_jobs.discard(batch)
-        convicted = len(self._failed_jobs) >= FAILED_JOBS_TO_SUSPEND
-        if not self.suspected or not self._suspended_for_failures or convicted:
+        still_suspect = len(self._failed_jobs) >= FAILED_JOBS_TO_SUSPEND
+        if not self.suspected or not self._suspended_for_failures or still_suspect:
             return False
         self._suspended_until = None
         self._suspension = timedelta()
@@ -88,8 +88,8 @@
         self._failed_jobs.clear()
 
     def _suspend(self, now: timedelta) -> None:
-        longer = max(FIRST_SUSPENSION, self._suspension * 2)
-        self._suspension = min(longer, MAX_SUSPENSION)
+        suspension = max(FIRST_SUSPENSION, self._suspension * 2)
+        self._suspension = min(suspension, MAX_SUSPENSION)
         self._suspended_until = now + self._suspension
 
 
--- a/src/brasstray/pool/minion_session.py
+++ b/src/brasstray/pool/minion_session.py
@@ -176,8 +176,8 @@
         expired = False
         pause = self._timing.probe_backoff
         while True:
-            left = self._lease.time_to_expiry(self._clock.monotonic())
-            if left <= _NO_WAIT and not expired:
+            remaining = self._lease.time_to_expiry(self._clock.monotonic())
+            if remaining <= _NO_WAIT and not expired:
                 expired = await self._expire()
             try:
                 if expired or self._minion.reach is Reachability.UNPROBED:
@@ -190,7 +190,7 @@
                     pause = min(pause * 2, MAX_PROBE_BACKOFF)
                 else:
                     # Until the runs expire, any answer saves them.
-                    await self._clock.sleep(min(pause, left))
+                    await self._clock.sleep(min(pause, remaining))
                 continue
             return
 
@@ -245,14 +245,16 @@
         self._lease.record_clock(reply.clock_ms, sent, received)
         # The next call acknowledges these ends, after the owner has reported them: a
         # successor must still see what was not reported.
-        fresh = tuple(e for e in reply.ended if e.number > self._acknowledged)
-        if fresh:
-            self._acknowledged = max(ended.number for ended in fresh)
+        new_ends = tuple(e for e in reply.ended if e.number > self._acknowledged)
+        if new_ends:
+            self._acknowledged = max(ended.number for ended in new_ends)
         # An overtaken reply shows runs as active whose end a newer one has listed.
-        overtaken = reply.clock_ms < self._newest_clock_ms
+        out_of_order = reply.clock_ms < self._newest_clock_ms
         self._newest_clock_ms = max(self._newest_clock_ms, reply.clock_ms)
-        self._owner.apply_report(self._minion, () if overtaken else reply.active, fresh)
-        return None if overtaken else {(run.task, run.run) for run in reply.active}
+        self._owner.apply_report(
+            self._minion, () if out_of_order else reply.active, new_ends
+        )
+        return None if out_of_order else {(run.task, run.run) for run in reply.active}
 
     def start(self, record: RunRecord, spec: str) -> None:
         """Send the start of `record`, which counts against the capacity already."""
--- a/src/brasstray/pool/placement.py
+++ b/src/brasstray/pool/placement.py
@@ -57,8 +57,8 @@
         if not _may_run(task, minion, now):
             continue
         entry = minion.entry
-        left = minion.free_cpu_millis - step.needs.cpu_millis
-        unused = left / max(1, entry.capacity.cpu_millis)
+        cpu_left = minion.free_cpu_millis - step.needs.cpu_millis
+        unused = cpu_left / max(1, entry.capacity.cpu_millis)
         ratio = durations.ratio(step, entry.id, entry.labels)
         cost = ratio + FIT_WEIGHT * unused
         if entry.id in task.avoided:
@@ -80,11 +80,11 @@
     if step.label and step.label not in entry.labels:
         return False
     if step.max_per_minion:
-        beside = sum(
+        same_step_runs = sum(
             name.batch == step.batch and name.step == step.step
             for name, _ in minion.runs
         )
-        if beside >= step.max_per_minion:
+        if same_step_runs >= step.max_per_minion:
             return False
     return minion.usable(now)
 
--- a/src/brasstray/pool/run_tracker.py
+++ b/src/brasstray/pool/run_tracker.py
@@ -139,10 +139,10 @@
             # A run on a minion that was slow after its start tells neither how long
             # the queue's tasks take nor how fast the minion is once it is warm.
             return
-        where = minion.entry.id
+        minion_id = minion.entry.id
         took = self._clock.monotonic() - record.began
-        task.parent_step.slowdowns[where] = took / record.expected
-        self._durations.learn(task.parent_step, where, record.expected, took)
+        task.parent_step.slowdowns[minion_id] = took / record.expected
+        self._durations.learn(task.parent_step, minion_id, record.expected, took)
 
     def _handle_failure(self, minion: Minion, task: PoolTask) -> None:
         self._health_monitor.record_failed(minion, task, self._clock.monotonic())
--- a/src/brasstray/pool/step_tasks.py
+++ b/src/brasstray/pool/step_tasks.py
@@ -52,7 +52,7 @@
 
     def best_slowdown_elsewhere(self, minion: MinionId) -> float | None:
         """Return the best pace of tasks on other minions, if any was seen."""
-        others = [ratio for where, ratio in self.slowdowns.items() if where != minion]
+        others = [ratio for other, ratio in self.slowdowns.items() if other != minion]
         return min(others, default=None)
 
 
--- a/src/brasstray/pool/straggling.py
+++ b/src/brasstray/pool/straggling.py
@@ -44,8 +44,8 @@
 
     Progress is told in whole percents, rounded down, so up to one more may be done.
     """
-    whole = (now - record.began) * 100 / (record.percent + 1)
-    return whole / record.expected
+    projected = (now - record.began) * 100 / (record.percent + 1)
+    return projected / record.expected
 
 
 __all__ = ["SIBLINGS_TIMEOUT", "is_straggler", "slowdown"]
