--- a/tests/pool/takeover.py
+++ b/tests/pool/takeover.py
@@ -29,7 +29,7 @@
 CAPACITY = Resources(16_000, 32_768)
 
 
-class Silent:
+class NullObject:
     """Take whatever is told, and do nothing."""
 
     def __getattr__(self, name):
@@ -52,31 +52,31 @@
     name = "requester"
 
     def __init__(self):
-        self.told = []
+        self.messages = []
 
     def tell(self, message):
-        self.told.append(message)
+        self.messages.append(message)
 
     def tell_later(self, message):
-        self.told.append(message)
+        self.messages.append(message)
 
 
-class PatternedMinions(LeasedMinions):
-    """Lose the answers to chosen probes: those numbered in `lost`, from 0 on.
+class LossyMinions(LeasedMinions):
+    """Drop the replies to the probes whose numbers are in `lost`, counted from 0.
 
-    Probes are counted for each minion; a lease renewal is none. Minions not in `among`
-    answer all of them.
+    Only minions in `affected` are concerned. Each has a count of its own, which does
+    not include lease renewals.
     """
 
     def __init__(self, *args):
         super().__init__(*args)
         self.lost = frozenset()
-        self.among = set()
+        self.affected = set()
         self._probes = {}
 
     async def hold(self, minion, token, acknowledged, until_ms, wait, timeout):
         reply = super().hold(minion, token, acknowledged, until_ms, wait, timeout)
-        if until_ms is not None or minion.id not in self.among:
+        if until_ms is not None or minion.id not in self.affected:
             return await reply
         number = self._probes.get(minion.id, 0)
         self._probes[minion.id] = number + 1
@@ -88,16 +88,16 @@
 
 
 @dataclass
-class Takeover:
+class TakeoverHarness:
     """Hold the minions of a pool and whoever orders them, one after the other."""
 
     group: anyio.abc.TaskGroup
     minions: int
     duration: timedelta = timedelta(seconds=3)
-    confirm_takes: timedelta = timedelta(milliseconds=4)
-    newest: int = 0
+    confirm_delay: timedelta = timedelta(milliseconds=4)
+    newest_token: int = 0
     confirmations: int = 0
-    places: dict[MinionId, LeasedMinion] = field(default_factory=dict)
+    stand_ins: dict[MinionId, LeasedMinion] = field(default_factory=dict)
 
     def __post_init__(self):
         self.clock = LoopClock()
@@ -114,27 +114,27 @@
                 (),
                 draining=False,
             )
-            self.places[entry.id] = LeasedMinion(entry, self.clock, self.book)
+            self.stand_ins[entry.id] = LeasedMinion(entry, self.clock, self.book)
         self.group.start_soon(
-            tick_all, lambda: list(self.places.values()), self.clock, TICK
+            tick_all, lambda: list(self.stand_ins.values()), self.clock, TICK
         )
 
     @property
     def entries(self):
-        return [place.entry for place in self.places.values()]
+        return [stand_in.entry for stand_in in self.stand_ins.values()]
 
     def calls(self):
         """Return a way to the minions for one more owner."""
-        return PatternedMinions(self.places, self.clock, self.group)
+        return LossyMinions(self.stand_ins, self.clock, self.group)
 
-    def own(self, token, calls):
+    def start_owner(self, token, calls):
         """Begin an owner that knows all minions; return it and what ends it."""
-        self.newest = max(self.newest, token)
+        self.newest_token = max(self.newest_token, token)
 
-        async def confirm():
+        async def confirm_ownership():
             self.confirmations += 1
-            await self.clock.sleep(self.confirm_takes)
-            return self.newest == token
+            await self.clock.sleep(self.confirm_delay)
+            return self.newest_token == token
 
         owner = PoolOwner(
             PoolId("dc"),
@@ -144,8 +144,8 @@
             self.timing,
             1.0,
             NoOtherPools(),
-            Silent(),
-            confirm,
+            NullObject(),
+            confirm_ownership,
             self.entries,
         )
         scope = anyio.CancelScope()
@@ -157,14 +157,16 @@
         self.group.start_soon(run)
         return owner, scope
 
-    async def list_all(self, owner):
+    async def list_all_minions(self, owner):
         """Let an owner that runs know that its list of minions is whole."""
         await self.clock.sleep(timedelta(milliseconds=1))
         owner.list_minions(self.entries)
 
     def where(self, task=TASK):
         """Return the minion on which `task` is at work."""
-        return next(i for i, place in self.places.items() if task in place.running)
+        return next(
+            i for i, stand_in in self.stand_ins.items() if task in stand_in.running
+        )
 
 
 def request(*, claimed, job=JOB, width=1):
@@ -190,14 +192,14 @@
     )
 
 
-def play_takeover(story, minions, **sizes):
-    """Play `story` on a pool of its own; return it and what the story returned."""
+def run_takeover(scenario, minions, **options):
+    """Run `scenario` on a pool of its own; return the harness and its result."""
 
-    async def whole():
+    async def main():
         async with anyio.create_task_group() as group:
-            pool = Takeover(group, minions, **sizes)
-            result = await story(pool)
+            pool = TakeoverHarness(group, minions, **options)
+            result = await scenario(pool)
             group.cancel_scope.cancel()
         return pool, result
 
-    return run_virtual(whole)
+    return run_virtual(main)
--- a/tests/pool/test_cold_minions.py
+++ b/tests/pool/test_cold_minions.py
@@ -35,32 +35,32 @@
         return self.now
 
 
-class Silent:
+class NullObject:
     def __getattr__(self, name):
         return lambda *_, **__: None
 
 
-def cold(made, left_ms):
-    entry = made.entry
+def cold(target, left_ms):
+    entry = target.entry
     fields = {name: getattr(entry, name) for name in entry.__dataclass_fields__}
-    made.update_entry(MinionEntry(**{**fields, "cold_left_ms": left_ms}), NOW)
-    return made
+    target.update_entry(MinionEntry(**{**fields, "cold_left_ms": left_ms}), NOW)
+    return target
 
 
-def at_work(where, made, began=NOW):
-    task = made.waiting.pop()
+def add_active_run(target, step_tasks, began=NOW):
+    task = step_tasks.waiting.pop()
     task.phase = TaskPhase.PLACED
     record = RunRecord(
         task.name,
         RunNumber(1),
-        made.needs,
+        step_tasks.needs,
         began,
         ms(60),
         RunState.ACTIVE,
         task,
-        cold=where.is_cold(began),
+        cold=target.is_cold(began),
     )
-    where.add(record)
+    target.add(record)
     return record
 
 
@@ -74,16 +74,16 @@
         ([cold(minion("a"), 5_000), minion("b", used=12_000)], "a"),
     ],
 )
-def test_warm_minions_go_first(others, chosen):
-    made = step()
-    found = choose_minion(made.waiting[0], others, Durations(1.5), NOW)
+def test_warm_minions_are_preferred(others, chosen):
+    step_tasks = step()
+    found = choose_minion(step_tasks.waiting[0], others, Durations(1.5), NOW)
     assert found.entry.id == chosen
 
 
-def test_a_minion_is_warm_once_its_time_is_over():
-    made = cold(minion("a"), 2_000)
-    assert made.is_cold(NOW + ms(1_999))
-    assert not made.is_cold(NOW + ms(2_000))
+def test_minion_is_cold_until_its_announced_time():
+    target = cold(minion("a"), 2_000)
+    assert target.is_cold(NOW + ms(1_999))
+    assert not target.is_cold(NOW + ms(2_000))
 
 
 @pytest.mark.parametrize(("left_ms", "ratio"), [(5_000, 1.0), (0, 1.2)])
@@ -92,17 +92,23 @@
     # that were taken for the queue's or the minions' own speed, jobs would be refused,
     # and the data centre left unused, for seconds after it is warm.
     durations, clock = Durations(1.5), Clock()
-    book = TaskRegistry(clock, Silent())
-    where, made = cold(minion("a"), left_ms), step()
-    made.requester = Silent()
-    monitor = HealthMonitor(lambda: [where], Silent())
+    registry = TaskRegistry(clock, NullObject())
+    target, step_tasks = cold(minion("a"), left_ms), step()
+    step_tasks.requester = NullObject()
+    monitor = HealthMonitor(lambda: [target], NullObject())
     tracker = RunTracker(
-        book, monitor, durations, clock, Silent(), lambda: False, lambda *_: None
+        registry,
+        monitor,
+        durations,
+        clock,
+        NullObject(),
+        lambda: False,
+        lambda *_: None,
     )
-    record = at_work(where, made)
+    record = add_active_run(target, step_tasks)
     clock.now += ms(300)
     tracker.apply_report(
-        where, (), (EndedRun(1, record.name, record.run, RunEnd.DONE),)
+        target, (), (EndedRun(1, record.name, record.run, RunEnd.DONE),)
     )
     assert durations.ratio(step(), None, ()) == pytest.approx(ratio, abs=0.1)
     learned = durations.ratio(step(), MinionId("a"), ())
@@ -110,23 +116,23 @@
 
 
 @pytest.mark.parametrize(("left_ms", "stopped"), [(5_000, False), (0, True)])
-def test_a_run_on_a_cold_minion_is_no_straggler(left_ms, stopped):
+def test_run_on_a_cold_minion_is_no_straggler(left_ms, stopped):
     # It is five times as slow as expected, as its minion said it would be. Stopping it
     # would waste its work, and a suspected minion would be missing for longer.
-    where, made = cold(minion("a"), left_ms), step()
-    record = at_work(where, made)
+    target, step_tasks = cold(minion("a"), left_ms), step()
+    record = add_active_run(target, step_tasks)
     record.percent = 50
-    monitor = HealthMonitor(lambda: [where], Silent())
+    monitor = HealthMonitor(lambda: [target], NullObject())
     now = NOW + timedelta(milliseconds=200)
-    assert monitor.should_stop(where, record, now) is stopped
-    assert where.health.suspected is stopped
+    assert monitor.should_stop(target, record, now) is stopped
+    assert target.health.suspected is stopped
 
 
 @pytest.mark.parametrize(
     ("told", "left_ms"),
     [(None, 0), (0, 0), (2_500, 2_500), (12.7, 12), (-3, 0), (1e300, 600_000)],
 )
-def test_a_minion_says_how_long_it_is_cold(told, left_ms):
+def test_cold_time_is_read_from_the_store_entry(told, left_ms):
     body = {
         "Service": "s",
         "Address": "10.0.0.1:80",
@@ -142,5 +148,5 @@
 
 def test_entries_that_differ_in_the_cold_time_alone_are_equal():
     # Otherwise an owner would tell its successors of all minions at every read.
-    made = minion("a")
-    assert made.entry == cold(minion("a"), 700).entry
+    target = minion("a")
+    assert target.entry == cold(minion("a"), 700).entry
--- a/tests/pool/test_late_starts.py
+++ b/tests/pool/test_late_starts.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 
 import pytest
-from tests.pool.takeover import Requester, play_takeover, request
+from tests.pool.takeover import Requester, request, run_takeover
 
 SECOND = timedelta(seconds=1)
 
@@ -14,7 +14,7 @@
     return timedelta(milliseconds=count)
 
 
-async def list_until(pool, owner, entries, duration):
+async def list_periodically(pool, owner, entries, duration):
     """Have `owner` read a list of `entries` twice a second for `duration`."""
     end = pool.clock.monotonic() + duration
     while pool.clock.monotonic() < end:
@@ -30,25 +30,25 @@
 ):
     """A start held up while its minion was unlisted does not begin beside a rerun."""
 
-    async def story(pool):
+    async def scenario(pool):
         calls = pool.calls()
-        owner, _ = pool.own(1, calls)
-        await pool.list_all(owner)
+        owner, _ = pool.start_owner(1, calls)
+        await pool.list_all_minions(owner)
         await pool.clock.sleep(ms(150))
         calls.late, calls.lateness = 1, ms(late_ms)
         owner.run_tasks(Requester(), request(claimed=False))
-        lost = await unanswered_minion(pool, calls, owner)
+        lost = await wait_for_late_start(pool, calls, owner)
         calls.cut.add(lost)
-        left = [entry for entry in pool.entries if entry.id != lost]
-        await list_until(pool, owner, left, ms(missing_ms))
+        listed = [entry for entry in pool.entries if entry.id != lost]
+        await list_periodically(pool, owner, listed, ms(missing_ms))
         calls.cut.clear()
-        await list_until(pool, owner, pool.entries, 10 * SECOND)
+        await list_periodically(pool, owner, pool.entries, 10 * SECOND)
 
-    pool, _ = play_takeover(story, minions, duration=15 * SECOND)
+    pool, _ = run_takeover(scenario, minions, duration=15 * SECOND)
     assert pool.book.broken == []
 
 
-async def unanswered_minion(pool, calls, owner):
+async def wait_for_late_start(pool, calls, owner):
     """Wait until a start is held back; return the minion that it was sent to."""
     while calls.late:
         await pool.clock.sleep(ms(1))
--- a/tests/pool/test_lease_clock.py
+++ b/tests/pool/test_lease_clock.py
@@ -27,9 +27,7 @@
         (100, (150, 200), 100 + MAX_EFFECT_DELAY / ms(1), False),
     ],
 )
-def test_an_order_that_is_held_up_may_extend_a_lease(
-    missed, answered, now, may_be_extended
-):
+def test_delayed_call_may_extend_a_lease(missed, answered, now, may_be_extended):
     lease = LeaseClock(PoolTiming())
     lease.record_clock(5_000, ms(0), ms(2))
     lease.record_unanswered(ms(missed))
@@ -40,7 +38,7 @@
 
 
 @pytest.mark.parametrize(("now", "left"), [(402, 816.3), (802, 416.3), (2_400, 0)])
-def test_leases_expire_for_sure_by_the_slowest_clock(now, left):
+def test_expiry_assumes_the_slowest_clock(now, left):
     lease = LeaseClock(PoolTiming())
     lease.record_clock(5_000, ms(0), ms(2))
     lease.record_clock(5_400, ms(400), ms(402))
@@ -50,7 +48,7 @@
 
 @pytest.mark.parametrize("asked", [False, True], ids=["none asked for", "asked for"])
 @pytest.mark.parametrize(("now", "left"), [(2, 1_020.4), (402, 620.4), (2_000, 0)])
-def test_the_longest_lease_counts_from_the_first_answer(asked, now, left):
+def test_longest_lease_is_assumed_at_the_first_answer(asked, now, left):
     # An earlier owner may have asked for any lease until the minion saw our token.
     lease = LeaseClock(PoolTiming())
     lease.record_clock(5_000, ms(0), ms(2))
--- a/tests/pool/test_loop_lag.py
+++ b/tests/pool/test_loop_lag.py
@@ -25,7 +25,7 @@
         ([900], 150, 150),
     ],
 )
-def test_the_allowance_follows_the_largest_recent_lag(lateness, least, most):
+def test_allowance_follows_the_largest_recent_lag(lateness, least, most):
     lag = LoopLag()
     for late in lateness:
         lag.observe(ms(late))
--- a/tests/pool/test_placement.py
+++ b/tests/pool/test_placement.py
@@ -31,7 +31,7 @@
 
 
 def step(due=500, estimate=60, *, width=1, begun=False, useful_until=1_500, **changes):
-    made = StepTasks(
+    step_tasks = StepTasks(
         batch=BatchId("a" * 16),
         step=0,
         requester=None,
@@ -52,15 +52,15 @@
         queue="q",
         width=width,
     )
-    made.begun = begun
+    step_tasks.begun = begun
     for name, value in changes.items():
-        setattr(made, name, value)
+        setattr(step_tasks, name, value)
     for index in range(width):
-        name = TaskName(made.batch, 0, index)
-        task = PoolTask(name, made, TaskPhase.WAITING, RunNumber(0))
-        made.tasks[index] = task
-        made.waiting.append(task)
-    return made
+        name = TaskName(step_tasks.batch, 0, index)
+        task = PoolTask(name, step_tasks, TaskPhase.WAITING, RunNumber(0))
+        step_tasks.tasks[index] = task
+        step_tasks.waiting.append(task)
+    return step_tasks
 
 
 def minion(name, cpu=16_000, labels=(), used=0, **changes):
@@ -74,8 +74,8 @@
         labels,
         changes.pop("draining", False),
     )
-    made = Minion(entry)
-    made.reach = changes.pop("reach", Reachability.LEASED)
+    new_minion = Minion(entry)
+    new_minion.reach = changes.pop("reach", Reachability.LEASED)
     if used:
         record = RunRecord(
             TaskName(BatchId("b" * 16), 0, 0),
@@ -87,8 +87,8 @@
             None,
             size_known=changes.pop("size_known", True),
         )
-        made.add(record)
-    return made
+        new_minion.add(record)
+    return new_minion
 
 
 @pytest.mark.parametrize(
@@ -113,9 +113,9 @@
         ),
     ],
 )
-def test_what_goes_first(first, second):
-    def key(made):
-        return urgency(made, made.estimate, NOW)
+def test_urgency_order(first, second):
+    def key(step_tasks):
+        return urgency(step_tasks, step_tasks.estimate, NOW)
 
     assert key(first) < key(second)
 
@@ -138,7 +138,7 @@
         ([], None),
     ],
 )
-def test_where_a_task_goes(others, chosen):
+def test_choice_of_minion(others, chosen):
     task = step().waiting[0]
     found = choose_minion(task, others, Durations(1.5), NOW)
     assert (found.entry.id if found else None) == chosen
@@ -152,7 +152,7 @@
         ({}, "plain"),
     ],
 )
-def test_labels_and_racks(changes, chosen):
+def test_choice_by_label_and_rack(changes, chosen):
     minions = [
         minion("plain", used=7_000),
         minion("labelled", labels=("gpu", "r2")),
@@ -169,29 +169,31 @@
     return {name: getattr(entry, name) for name in entry.__dataclass_fields__}
 
 
-def test_a_faster_minion_is_learned_and_preferred():
+def test_faster_minion_is_learned_and_preferred():
     durations = Durations(1.0)
-    made = step()
+    step_tasks = step()
     fast, slow = minion("fast"), minion("slow")
     for _ in range(20):
-        durations.learn(made, fast.entry.id, ms(60), ms(45))
-        durations.learn(made, slow.entry.id, ms(60), ms(75))
-    task = made.waiting[0]
+        durations.learn(step_tasks, fast.entry.id, ms(60), ms(45))
+        durations.learn(step_tasks, slow.entry.id, ms(60), ms(75))
+    task = step_tasks.waiting[0]
     assert choose_minion(task, [slow, fast], durations, NOW) is fast
 
 
-def test_no_more_tasks_of_a_step_share_a_minion_than_allowed():
-    made = step(width=2, max_per_minion=1)
+def test_max_per_minion_limits_tasks_of_a_step():
+    step_tasks = step(width=2, max_per_minion=1)
     one, other = minion("a", cpu=24_000), minion("b", cpu=24_000)
-    beside = RunRecord(
-        made.waiting[0].name,
+    running = RunRecord(
+        step_tasks.waiting[0].name,
         RunNumber(1),
-        made.needs,
+        step_tasks.needs,
         NOW,
         ms(60),
         RunState.ACTIVE,
-        made.waiting[0],
+        step_tasks.waiting[0],
     )
-    one.add(beside)
-    assert choose_minion(made.waiting[1], [one, other], Durations(1.0), NOW) is other
-    assert choose_minion(made.waiting[1], [one], Durations(1.0), NOW) is None
+    one.add(running)
+    assert (
+        choose_minion(step_tasks.waiting[1], [one, other], Durations(1.0), NOW) is other
+    )
+    assert choose_minion(step_tasks.waiting[1], [one], Durations(1.0), NOW) is None
--- a/tests/pool/test_straggling.py
+++ b/tests/pool/test_straggling.py
@@ -45,11 +45,11 @@
         (300, 69, 0.8, False),
     ],
 )
-def test_a_run_is_judged_by_its_progress(elapsed_ms, percent, siblings, verdict):
+def test_straggler_detection_by_progress(elapsed_ms, percent, siblings, verdict):
     now = timedelta(milliseconds=elapsed_ms)
     assert is_straggler(record(percent), now, siblings) is verdict
 
 
-def test_a_run_of_an_earlier_owner_is_not_judged():
+def test_run_of_a_previous_owner_is_no_straggler():
     # Nobody knows when it began or what it was expected to take.
     assert not is_straggler(record(0, timedelta(0)), timedelta(seconds=9), None)
--- a/tests/pool/test_takeover.py
+++ b/tests/pool/test_takeover.py
@@ -6,7 +6,7 @@
 from itertools import combinations
 
 import pytest
-from tests.pool.takeover import NEEDS, TASK, Requester, play_takeover, request
+from tests.pool.takeover import NEEDS, TASK, Requester, request, run_takeover
 
 from brasstray.batch.ids import BatchId, FencingToken, RunNumber
 from brasstray.batch.resources import Resources
@@ -15,13 +15,13 @@
 from brasstray_standins.leased_minion import Work
 
 SECOND = timedelta(seconds=1)
-OTHER = BatchId("b" * 16)
-MOST_LOST = 5
-FIRST_LOOKS = 6
-PATTERNS = [
+OTHER_JOB = BatchId("b" * 16)
+MAX_LOST_PROBES = 5
+FIRST_PROBES = 6
+LOSS_PATTERNS = [
     frozenset(lost)
-    for count in range(MOST_LOST + 1)
-    for lost in combinations(range(FIRST_LOOKS), count)
+    for count in range(MAX_LOST_PROBES + 1)
+    for lost in combinations(range(FIRST_PROBES), count)
 ]
 
 
@@ -29,23 +29,23 @@
     return timedelta(milliseconds=count)
 
 
-async def play_lost_looks(pool, lost, *, alive, orders_late):
+async def take_over_with_lost_probes(pool, lost, *, alive, late_calls):
     """Have a task begun by one owner and claimed from the next, who hears little."""
-    first, end_first = pool.own(1, pool.calls())
-    await pool.list_all(first)
+    first, first_scope = pool.start_owner(1, pool.calls())
+    await pool.list_all_minions(first)
     await pool.clock.sleep(ms(150))
     first.run_tasks(Requester(), request(claimed=False))
     await pool.clock.sleep(ms(100))
     where = pool.where()
     if not alive:
-        end_first.cancel()
+        first_scope.cancel()
         # As long as silence lasts before somebody takes the pool.
         await pool.clock.sleep(ms(400))
     calls = pool.calls()
-    calls.lost, calls.among = lost, {where}
-    calls.late = calls.late_holds = orders_late
-    second, _ = pool.own(2, calls)
-    await pool.list_all(second)
+    calls.lost, calls.affected = lost, {where}
+    calls.late = calls.late_holds = late_calls
+    second, _ = pool.start_owner(2, calls)
+    await pool.list_all_minions(second)
     second.run_tasks(Requester(), request(claimed=True))
     await pool.clock.sleep(ms(2_000))
 
@@ -58,21 +58,21 @@
 # that: `asked: false`, `until_ms: 0`, 0.1 s after `pool_taken`.
 @pytest.mark.parametrize("minions", [1, 2, 3])
 @pytest.mark.parametrize("alive", [False, True], ids=["first dead", "first alive"])
-@pytest.mark.parametrize("orders_late", [0, 1], ids=["orders in time", "orders late"])
-def test_a_run_under_the_lease_of_an_earlier_owner_goes_on_alone(
-    minions, alive, orders_late
-):
+@pytest.mark.parametrize("late_calls", [0, 1], ids=["calls in time", "calls late"])
+def test_run_leased_by_the_previous_owner_is_not_duplicated(minions, alive, late_calls):
     broken = {}
-    for lost in PATTERNS:
+    for lost in LOSS_PATTERNS:
 
-        async def story(pool, lost=lost):
-            await play_lost_looks(pool, lost, alive=alive, orders_late=orders_late)
+        async def scenario(pool, lost=lost):
+            await take_over_with_lost_probes(
+                pool, lost, alive=alive, late_calls=late_calls
+            )
 
-        pool, _ = play_takeover(story, minions)
+        pool, _ = run_takeover(scenario, minions)
         if pool.book.broken:
             broken[tuple(sorted(lost))] = pool.book.broken
     assert broken == {}
-    assert len(PATTERNS) == 63
+    assert len(LOSS_PATTERNS) == 63
 
 
 # A run that is being stopped is not told as active any more, and its end is told only
@@ -80,103 +80,103 @@
 # starts the task again beside it, or other tasks in its room.
 @pytest.mark.parametrize("before", [1, 10, 30, 50, 70])
 @pytest.mark.parametrize("minions", [1, 2])
-def test_a_run_that_is_being_stopped_is_over_before_its_task_starts_again(
-    minions, before
-):
-    async def story(pool):
-        first, end_first = pool.own(1, pool.calls())
-        await pool.list_all(first)
+def test_task_restarts_only_after_its_stopping_run_ended(minions, before):
+    async def scenario(pool):
+        first, first_scope = pool.start_owner(1, pool.calls())
+        await pool.list_all_minions(first)
         await pool.clock.sleep(ms(150))
-        place = await begin_on_last(pool, first)
-        second, _ = pool.own(2, pool.calls())
-        place.stop(place.entry, FencingToken(1), TASK, RunNumber(1))
+        stand_in = await start_on_last_minion(pool, first)
+        second, _ = pool.start_owner(2, pool.calls())
+        stand_in.stop(stand_in.entry, FencingToken(1), TASK, RunNumber(1))
         await pool.clock.sleep(ms(before))
-        end_first.cancel()
-        await pool.list_all(second)
+        first_scope.cancel()
+        await pool.list_all_minions(second)
         second.run_tasks(Requester(), request(claimed=True))
-        full = request(claimed=False, job=OTHER, width=2 * minions)
+        full = request(claimed=False, job=OTHER_JOB, width=2 * minions)
         second.run_tasks(Requester(), full)
         await pool.clock.sleep(ms(500))
 
-    pool, _ = play_takeover(story, minions)
+    pool, _ = run_takeover(scenario, minions)
     assert pool.book.broken == []
     assert pool.book.starts.count(TASK) == 2
 
 
-async def begin_on_last(pool, owner):
+async def start_on_last_minion(pool, owner):
     """Have the task begun on the last minion, and the others free again."""
     others = 2 * (pool.minions - 1)
     if others:
         for index in range(others):
-            pool.book.works[TaskName(OTHER, 0, index)] = Work(NEEDS, ms(20))
-        owner.run_tasks(Requester(), request(claimed=False, job=OTHER, width=others))
+            pool.book.works[TaskName(OTHER_JOB, 0, index)] = Work(NEEDS, ms(20))
+        owner.run_tasks(
+            Requester(), request(claimed=False, job=OTHER_JOB, width=others)
+        )
         await pool.clock.sleep(ms(5))
     owner.run_tasks(Requester(), request(claimed=False))
     await pool.clock.sleep(ms(100))
     pool.book.works.clear()
     assert pool.where() == pool.entries[-1].id
-    return pool.places[pool.where()]
+    return pool.stand_ins[pool.where()]
 
 
 # A task waits for room when a run of it is found after all, by a look that an earlier
 # one should have made impossible. The owner stops what it found; room is free elsewhere
 # before the run has ended, and the task starts there beside it. The lines of a day with
 # this are `run_found` with `phase: waiting`, then a second run of the task.
-def test_a_run_that_is_found_while_its_task_waits_becomes_its_run():
-    async def story(pool):
-        owner, _ = pool.own(1, pool.calls())
-        await pool.list_all(owner)
+def test_run_found_while_its_task_waits_is_adopted():
+    async def scenario(pool):
+        owner, _ = pool.start_owner(1, pool.calls())
+        await pool.list_all_minions(owner)
         await pool.clock.sleep(ms(150))
-        full = request(claimed=False, job=OTHER, width=4)
+        full = request(claimed=False, job=OTHER_JOB, width=4)
         for index in range(4):
-            pool.book.works[TaskName(OTHER, 0, index)] = Work(NEEDS, ms(120))
+            pool.book.works[TaskName(OTHER_JOB, 0, index)] = Work(NEEDS, ms(120))
         owner.run_tasks(Requester(), full)
         await pool.clock.sleep(ms(50))
-        asked = Requester()
-        owner.run_tasks(asked, request(claimed=False))
+        requester = Requester()
+        owner.run_tasks(requester, request(claimed=False))
         await pool.clock.sleep(ms(50))
         minion = owner.minions[1]
         pool.book.works[TASK] = Work(Resources(), ms(600))
-        place = pool.places[minion.entry.id]
-        place.start(minion.entry, FencingToken(1), TASK, RunNumber(7), 10**6)
+        stand_in = pool.stand_ins[minion.entry.id]
+        stand_in.start(minion.entry, FencingToken(1), TASK, RunNumber(7), 10**6)
         owner.apply_report(minion, (ActiveRun(TASK, RunNumber(7), 10),), ())
         await pool.clock.sleep(SECOND)
-        return asked
+        return requester
 
-    pool, asked = play_takeover(story, 2)
+    pool, requester = run_takeover(scenario, 2)
     assert pool.book.broken == []
     assert pool.book.starts.count(TASK) == 1
-    assert [message.done for message in asked.told] == [(0,)]
+    assert [message.done for message in requester.messages] == [(0,)]
 
 
 # All looks at a minion are without an answer until every lease there is over. While the
 # store is asked whether the pool is still this owner's, for as long as the store likes,
 # the minion answers another call: so it lives, and an extension of leases that was held
 # up may have come. Its runs go on, and were started elsewhere beside that.
-@pytest.mark.parametrize("confirm_takes", [170, 200, 400])
-def test_a_minion_that_answers_while_the_store_is_asked_is_looked_at_again(
-    confirm_takes,
+@pytest.mark.parametrize("confirm_delay", [170, 200, 400])
+def test_minion_that_answers_during_confirmation_is_probed_again(
+    confirm_delay,
 ):
-    async def story(pool):
+    async def scenario(pool):
         calls = pool.calls()
-        owner, _ = pool.own(1, calls)
-        await pool.list_all(owner)
+        owner, _ = pool.start_owner(1, calls)
+        await pool.list_all_minions(owner)
         await pool.clock.sleep(ms(150))
-        place = await begin_on_last(pool, owner)
+        stand_in = await start_on_last_minion(pool, owner)
         cancelled = Requester()
-        owner.run_tasks(cancelled, request(claimed=False, job=OTHER, width=3))
+        owner.run_tasks(cancelled, request(claimed=False, job=OTHER_JOB, width=3))
         await pool.clock.sleep(ms(100))
         calls.late_holds, calls.lateness = 1, ms(500)
         while calls.late_holds:
             await pool.clock.sleep(ms(1))
-        calls.cut.add(place.entry.id)
-        owner.stop_tasks(cancelled, OTHER)
+        calls.cut.add(stand_in.entry.id)
+        owner.stop_tasks(cancelled, OTHER_JOB)
         while pool.confirmations == 0:
             await pool.clock.sleep(ms(1))
         calls.cut.clear()
         await pool.clock.sleep(ms(600))
 
-    pool, _ = play_takeover(story, 2, confirm_takes=ms(confirm_takes))
+    pool, _ = run_takeover(scenario, 2, confirm_delay=ms(confirm_delay))
     assert pool.book.broken == []
 
 
@@ -185,26 +185,26 @@
 # caller's program sends the job again 1.3 s after its connection broke, to another data
 # centre. The owner waited for its list, and the first run went on beside the second.
 @pytest.mark.parametrize("listed_after", [10, 1_000, 3_000])
-def test_runs_that_nobody_claims_are_stopped_without_a_list_as_well(listed_after):
-    async def story(pool):
-        first, end_first = pool.own(1, pool.calls())
-        await pool.list_all(first)
+def test_orphaned_runs_are_stopped_without_a_minion_list(listed_after):
+    async def scenario(pool):
+        first, first_scope = pool.start_owner(1, pool.calls())
+        await pool.list_all_minions(first)
         await pool.clock.sleep(ms(150))
-        place = await begin_on_last(pool, first)
-        end_first.cancel()
-        second, _ = pool.own(2, pool.calls())
+        stand_in = await start_on_last_minion(pool, first)
+        first_scope.cancel()
+        second, _ = pool.start_owner(2, pool.calls())
         pool.group.start_soon(list_after, pool, second, listed_after)
         await pool.clock.sleep(pool.timing.recovery_timeout)
-        before = set(place.running)
+        before = set(stand_in.running)
         await pool.clock.sleep(pool.timing.orphan_timeout + pool.timing.stop_time)
         await pool.clock.sleep(ms(20))
-        return before, set(place.running)
+        return before, set(stand_in.running)
 
     async def list_after(pool, owner, milliseconds):
         await pool.clock.sleep(ms(milliseconds))
         owner.list_minions(pool.entries)
 
-    _, (before, after) = play_takeover(story, 2)
+    _, (before, after) = run_takeover(scenario, 2)
     assert before == {TASK}
     assert after == set()
 
@@ -212,27 +212,27 @@
 # A minion's entry expired while the store was away. It still runs a task and answers
 # its owner, so it is kept; then it goes out of reach. Having been missing for long, it
 # was taken for gone at once, and its task ran elsewhere while its lease went on.
-def test_a_minion_missing_from_the_list_is_not_gone_before_its_leases_are_over():
-    async def story(pool):
+def test_unlisted_minion_is_kept_until_its_leases_expire():
+    async def scenario(pool):
         calls = pool.calls()
-        owner, _ = pool.own(1, calls)
-        await pool.list_all(owner)
+        owner, _ = pool.start_owner(1, calls)
+        await pool.list_all_minions(owner)
         await pool.clock.sleep(ms(150))
-        place = await begin_on_last(pool, owner)
-        left = [entry for entry in pool.entries if entry.id != place.entry.id]
+        stand_in = await start_on_last_minion(pool, owner)
+        listed = [entry for entry in pool.entries if entry.id != stand_in.entry.id]
         for seconds in range(8):
-            owner.list_minions(left)
+            owner.list_minions(listed)
             await pool.clock.sleep(ms(500))
             if seconds == 7:
-                calls.cut.add(place.entry.id)
+                calls.cut.add(stand_in.entry.id)
         await pool.clock.sleep(ms(560))
-        owner.list_minions(left)
+        owner.list_minions(listed)
         await pool.clock.sleep(SECOND)
-        owner.list_minions(left)
+        owner.list_minions(listed)
         await pool.clock.sleep(ms(100))
         return [minion.entry.id for minion in owner.minions]
 
-    pool, known = play_takeover(story, 2, duration=ms(6_000))
+    pool, known = run_takeover(scenario, 2, duration=ms(6_000))
     assert pool.book.broken == []
     assert pool.book.starts.count(TASK) == 2
     assert known == ["m0"]
--- a/tests/pool/test_task_registry.py
+++ b/tests/pool/test_task_registry.py
@@ -4,7 +4,7 @@
 
 import pytest
 from tests.conftest import run_virtual
-from tests.pool.takeover import Silent
+from tests.pool.takeover import NullObject
 
 from brasstray.batch.ids import RunNumber
 from brasstray.batch.task_name import TaskName
@@ -20,13 +20,13 @@
     name = "r"
 
     def __init__(self):
-        self.told = []
+        self.messages = []
 
     def tell(self, message):
-        self.told.append(("now", message.done, message.failed))
+        self.messages.append(("now", message.done, message.failed))
 
     def tell_later(self, message):
-        self.told.append(("later", message.done, message.failed))
+        self.messages.append(("later", message.done, message.failed))
 
 
 def request(width):
@@ -65,13 +65,13 @@
         ),
     ],
 )
-def test_ends_wait_for_the_last_of_their_step(ends, told):
+def test_ends_are_batched_until_the_last_of_their_step(ends, told):
     # A job of eight tasks ends with its last one. Told one by one, seven of eight
     # messages would have the waiting host wake for nothing.
     requester = Requester()
 
-    async def story():
-        registry = TaskRegistry(LoopClock(), Silent())
+    async def scenario():
+        registry = TaskRegistry(LoopClock(), NullObject())
         step = registry.get_or_add(requester, request(len(ends)))
         for index in range(len(ends)):
             name = TaskName(JOB, 0, index)
@@ -79,5 +79,5 @@
         for index, done in enumerate(ends):
             registry.finish(step.tasks[index], done=done)
 
-    run_virtual(story)
-    assert requester.told == told
+    run_virtual(scenario)
+    assert requester.messages == told
