--- a/tests/pool/takeover.py
+++ b/tests/pool/takeover.py
@@ -1,4 +1,4 @@
-"""Put a pool into the hands of a second owner while a task is at work."""
+"""Hand a pool from one owner to the next while a task is running."""
 
 from __future__ import annotations
 
@@ -25,19 +25,19 @@
 JOB = BatchId("a" * 16)
 TASK = TaskName(JOB, 0, 0)
 NEEDS = Resources(6_800, 64)
-# Room for two tasks of the usual size.
+# Capacity for two tasks of the usual size.
 CAPACITY = Resources(16_000, 32_768)
 
 
 class NullObject:
-    """Take whatever is told, and do nothing."""
+    """Accept every method call, and do nothing."""
 
     def __getattr__(self, name):
         return lambda *_, **__: None
 
 
 class NoOtherPools:
-    """Be the only pool."""
+    """Report that there are no other pools."""
 
     def loads(self):
         return {}
@@ -47,7 +47,7 @@
 
 
 class Requester:
-    """Keep what is told of the tasks that were asked for."""
+    """Record the messages about the tasks that were asked for."""
 
     name = "requester"
 
@@ -89,7 +89,7 @@
 
 @dataclass
 class TakeoverHarness:
-    """Hold the minions of a pool and whoever orders them, one after the other."""
+    """Hold the minions of a pool, and start its owners one after the other."""
 
     group: anyio.abc.TaskGroup
     minions: int
@@ -124,11 +124,11 @@
         return [stand_in.entry for stand_in in self.stand_ins.values()]
 
     def calls(self):
-        """Return a way to the minions for one more owner."""
+        """Return the calls to the minions for one more owner."""
         return LossyMinions(self.stand_ins, self.clock, self.group)
 
     def start_owner(self, token, calls):
-        """Begin an owner that knows all minions; return it and what ends it."""
+        """Start an owner that knows all minions; return it and its cancel scope."""
         self.newest_token = max(self.newest_token, token)
 
         async def confirm_ownership():
@@ -158,19 +158,19 @@
         return owner, scope
 
     async def list_all_minions(self, owner):
-        """Let an owner that runs know that its list of minions is whole."""
+        """Give a running owner the complete list of minions."""
         await self.clock.sleep(timedelta(milliseconds=1))
         owner.list_minions(self.entries)
 
     def where(self, task=TASK):
-        """Return the minion on which `task` is at work."""
+        """Return the minion on which `task` runs."""
         return next(
             i for i, stand_in in self.stand_ins.items() if task in stand_in.running
         )
 
 
 def request(*, claimed, job=JOB, width=1):
-    """Return a request for the tasks of a job, or the claim to them."""
+    """Return a request for the tasks of a job, or a claim to them."""
     return RunTasks(
         batch=job,
         step=0,
--- a/tests/pool/test_cold_minions.py
+++ b/tests/pool/test_cold_minions.py
@@ -1,6 +1,6 @@
-"""Check what becomes of tasks while minions are slow after their start.
+"""Check how tasks are handled on minions that are slow after their start.
 
-The pattern is a data centre that was empty and comes back: all its minions are cold for
+The case is a data centre that was empty and comes back: all its minions are cold for
 some seconds, under the usual load.
 """
 
@@ -67,10 +67,10 @@
 @pytest.mark.parametrize(
     ("others", "chosen"),
     [
-        # Warm before cold, also where the fit is worse.
+        # A warm minion comes before a cold one, even with a worse fit.
         ([cold(minion("a", used=7_000), 5_000), minion("b")], "b"),
         ([cold(minion("a"), 0), minion("b", used=7_000)], "b"),
-        # A cold one rather than none.
+        # A cold minion is better than none.
         ([cold(minion("a"), 5_000), minion("b", used=12_000)], "a"),
     ],
 )
@@ -88,9 +88,9 @@
 
 @pytest.mark.parametrize(("left_ms", "ratio"), [(5_000, 1.0), (0, 1.2)])
 def test_no_durations_are_learned_from_cold_minions(left_ms, ratio):
-    # A data centre comes back cold, and each run takes five times as long as usual. If
-    # that were taken for the queue's or the minions' own speed, jobs would be refused,
-    # and the data centre left unused, for seconds after it is warm.
+    # When a data centre comes back cold, each run takes five times as long as usual. If
+    # that were learned as the speed of the queue or the minions, jobs would be
+    # rejected, and the data centre left unused, for seconds after it is warm.
     durations, clock = Durations(1.5), Clock()
     registry = TaskRegistry(clock, NullObject())
     target, step_tasks = cold(minion("a"), left_ms), step()
@@ -117,8 +117,8 @@
 
 @pytest.mark.parametrize(("left_ms", "stopped"), [(5_000, False), (0, True)])
 def test_run_on_a_cold_minion_is_no_straggler(left_ms, stopped):
-    # It is five times as slow as expected, as its minion said it would be. Stopping it
-    # would waste its work, and a suspected minion would be missing for longer.
+    # The run is five times as slow as expected, as its minion has announced. Stopping
+    # it would waste its work, and a suspended minion would be missing for longer.
     target, step_tasks = cold(minion("a"), left_ms), step()
     record = add_active_run(target, step_tasks)
     record.percent = 50
@@ -147,6 +147,6 @@
 
 
 def test_entries_that_differ_in_the_cold_time_alone_are_equal():
-    # Otherwise an owner would tell its successors of all minions at every read.
+    # Otherwise an owner would send all minions to its successors after every read.
     target = minion("a")
     assert target.entry == cold(minion("a"), 700).entry
--- a/tests/pool/test_late_starts.py
+++ b/tests/pool/test_late_starts.py
@@ -15,7 +15,7 @@
 
 
 async def list_periodically(pool, owner, entries, duration):
-    """Have `owner` read a list of `entries` twice a second for `duration`."""
+    """Give `owner` the list `entries` twice a second for `duration`."""
     end = pool.clock.monotonic() + duration
     while pool.clock.monotonic() < end:
         owner.list_minions(entries)
@@ -28,7 +28,7 @@
 def test_late_start_is_rejected_after_its_minion_was_forgotten(
     minions, missing_ms, late_ms
 ):
-    """A start held up while its minion was unlisted does not begin beside a rerun."""
+    """A start delayed while its minion was unlisted does not begin beside a rerun."""
 
     async def scenario(pool):
         calls = pool.calls()
--- a/tests/pool/test_lease_clock.py
+++ b/tests/pool/test_lease_clock.py
@@ -1,4 +1,4 @@
-"""Check what an owner takes for granted of the leases on a minion."""
+"""Check what an owner assumes about the leases on a minion."""
 
 from __future__ import annotations
 
@@ -17,11 +17,11 @@
 @pytest.mark.parametrize(
     ("missed", "answered", "now", "may_be_extended"),
     [
-        # An order without an answer on a minion that is not heard of again.
+        # An unanswered call to a minion that answers no later call.
         (100, None, 500, False),
-        # One that was answered late, after a later order had been given up.
+        # An unanswered call, and a late reply to a call sent before it.
         (100, (50, 200), 500, False),
-        # One after which the minion answered another call: it may still come.
+        # An unanswered call, and a reply to a later one: it may still take effect.
         (100, (150, 200), 500, True),
         (100, (150, 200), 100 + MAX_EFFECT_DELAY / ms(1) - 1, True),
         (100, (150, 200), 100 + MAX_EFFECT_DELAY / ms(1), False),
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize("asked", [False, True], ids=["none asked for", "asked for"])
 @pytest.mark.parametrize(("now", "left"), [(2, 1_020.4), (402, 620.4), (2_000, 0)])
 def test_longest_lease_is_assumed_at_the_first_answer(asked, now, left):
-    # An earlier owner may have asked for any lease until the minion saw our token.
+    # A previous owner may have requested any lease until the minion saw the new token.
     lease = LeaseClock(PoolTiming())
     lease.record_clock(5_000, ms(0), ms(2))
     if asked:
--- a/tests/pool/test_loop_lag.py
+++ b/tests/pool/test_loop_lag.py
@@ -1,4 +1,4 @@
-"""Check how much longer a process that is late itself waits for answers."""
+"""Check how much longer a process that lags behind waits for replies."""
 
 from __future__ import annotations
 
--- a/tests/pool/test_placement.py
+++ b/tests/pool/test_placement.py
@@ -1,7 +1,7 @@
-"""Check which tasks go first and where, when there is not room for all.
+"""Check which tasks start first, and where, when there is not capacity for all.
 
 The load is that of the last days of a month: wide jobs of 60 ms tasks, jobs of a few
-200 ms tasks and some of 900 ms ones, at or above what the minions can do.
+200 ms tasks and some of 900 ms ones, at or above the capacity of the minions.
 """
 
 from __future__ import annotations
@@ -94,19 +94,19 @@
 @pytest.mark.parametrize(
     ("first", "second"),
     [
-        # Both can be in time: the one that must start sooner.
+        # Both can meet their objective: the one that must start sooner goes first.
         (step(due=100), step(due=300)),
         (step(due=500, estimate=450), step(due=300, estimate=60)),
-        # One that has tasks at work already, before a new one: half a job is no answer.
+        # A step that has begun goes before a new one: a partial job has no answer.
         (step(due=400, begun=True), step(due=100)),
-        # One that can still be in time, before one that cannot.
+        # A step that can still meet its objective goes before one that cannot.
         (step(due=400), step(due=10)),
         (step(due=400), step(due=10, begun=True)),
-        # Of late ones those that have begun, then the shortest.
+        # Of late steps, those that have begun go first, then the shortest.
         (step(due=-50, estimate=200, begun=True), step(due=-50, estimate=60)),
         (step(due=-50, estimate=60), step(due=-50, estimate=200)),
         (step(due=-50, estimate=60, width=2), step(due=-50, estimate=60, width=8)),
-        # An answer of little use goes last, whatever it takes.
+        # A step whose answer is of little use goes last, whatever its duration.
         (
             step(due=-50, estimate=900),
             step(due=-900, estimate=60, useful_until=-10, begun=True),
@@ -123,17 +123,17 @@
 @pytest.mark.parametrize(
     ("others", "chosen"),
     [
-        # The one that is left with the least unusable room.
+        # The minion that is left with the least unusable capacity.
         ([minion("a"), minion("b", used=7_000)], "b"),
         ([minion("a", cpu=24_000, used=13_600), minion("b")], "a"),
-        # Not one without room, out of reach, of another service, or about to leave.
+        # Not a minion that is full, unreachable, of another service or draining.
         ([minion("a", used=12_000), minion("b")], "b"),
         ([minion("a", reach=Reachability.UNREACHABLE), minion("b")], "b"),
         ([minion("a", reach=Reachability.UNPROBED), minion("b")], "b"),
         ([minion("a", service=ServiceName("other")), minion("b")], "b"),
         ([minion("a", draining=True), minion("b")], "b"),
         ([minion("a", draining=True)], None),
-        # Not one with runs of an earlier owner whose size is not known.
+        # Not a minion with runs of a previous owner whose size is unknown.
         ([minion("a", used=1, size_known=False), minion("b")], "b"),
         ([], None),
     ],
--- a/tests/pool/test_straggling.py
+++ b/tests/pool/test_straggling.py
@@ -34,13 +34,13 @@
         (100, 0, None, False),  # too early to tell
         (130, 0, None, True),  # no progress at all
         (130, 40, None, False),
-        (300, 40, None, False),  # 750 ms in all: a wrong estimate may do that
-        (300, 30, None, True),  # 1,000 ms in all, five times what was expected
+        (300, 40, None, False),  # 750 ms in total: within the error of estimates
+        (300, 30, None, True),  # 1,000 ms in total, five times the expected duration
         (700, 75, None, False),  # nearly done
-        # Its siblings on other minions take four times as long as was estimated, so
-        # it is the estimate that is wrong.
+        # Its siblings on other minions take four times the estimate, so the estimate is
+        # wrong.
         (300, 35, 4.0, False),
-        # Its siblings are twice as fast as estimated, and it is not.
+        # Its siblings take half the estimate, and this run does not.
         (300, 60, 0.5, True),
         (300, 69, 0.8, False),
     ],
@@ -51,5 +51,5 @@
 
 
 def test_run_of_a_previous_owner_is_no_straggler():
-    # Nobody knows when it began or what it was expected to take.
+    # Its start time and its expected duration are unknown.
     assert not is_straggler(record(0, timedelta(0)), timedelta(seconds=9), None)
--- a/tests/pool/test_takeover.py
+++ b/tests/pool/test_takeover.py
@@ -1,4 +1,4 @@
-"""Check that a new owner never takes a run that it knows little of for ended."""
+"""Check that a new owner never assumes that a run it knows little of has ended."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 async def take_over_with_lost_probes(pool, lost, *, alive, late_calls):
-    """Have a task begun by one owner and claimed from the next, who hears little."""
+    """Start a task under one owner; have the next, whose replies get lost, claim it."""
     first, first_scope = pool.start_owner(1, pool.calls())
     await pool.list_all_minions(first)
     await pool.clock.sleep(ms(150))
@@ -39,7 +39,7 @@
     where = pool.where()
     if not alive:
         first_scope.cancel()
-        # As long as silence lasts before somebody takes the pool.
+        # The silence after which another host takes the pool.
         await pool.clock.sleep(ms(400))
     calls = pool.calls()
     calls.lost, calls.affected = lost, {where}
@@ -50,12 +50,13 @@
     await pool.clock.sleep(ms(2_000))
 
 
-# Two people were answered for one draw: a task that went on ran again on another
-# minion, 0.1 to 0.3 s after its pool had changed hands while answers were lost. The
-# new owner had seen the run by one look and had no answer to the next; it had asked for
-# no lease there yet, and took "none asked for" for "every lease is over", though the
-# run lived under the lease of the owner before it. Its line `leases_expired` shows
-# that: `asked: false`, `until_ms: 0`, 0.1 s after `pool_taken`.
+# Guards against a second run of a task after a takeover with lost replies; two people
+# were answered for one draw. The new owner had seen the run in one probe and got no
+# reply to the next. It had requested no lease on the minion yet, and treated this as
+# all leases having expired, although the run was alive under the previous owner's
+# lease. The task ran again on another minion, 0.1 to 0.3 s after the takeover. The log
+# line `leases_expired` shows it: `asked: false`, `until_ms: 0`, 0.1 s after
+# `pool_taken`.
 @pytest.mark.parametrize("minions", [1, 2, 3])
 @pytest.mark.parametrize("alive", [False, True], ids=["first dead", "first alive"])
 @pytest.mark.parametrize("late_calls", [0, 1], ids=["calls in time", "calls late"])
@@ -75,9 +76,10 @@
     assert len(LOSS_PATTERNS) == 63
 
 
-# A run that is being stopped is not told as active any more, and its end is told only
-# once it has ended, up to 50 ms later. An owner that comes in between sees neither, and
-# starts the task again beside it, or other tasks in its room.
+# Guards against a second run, or an overcommitted minion, when a takeover meets a run
+# that is being stopped. Such a run is no longer listed as active, and its end is listed
+# only once it has ended, up to 50 ms later. An owner that takes over in between sees
+# neither.
 @pytest.mark.parametrize("before", [1, 10, 30, 50, 70])
 @pytest.mark.parametrize("minions", [1, 2])
 def test_task_restarts_only_after_its_stopping_run_ended(minions, before):
@@ -102,7 +104,7 @@
 
 
 async def start_on_last_minion(pool, owner):
-    """Have the task begun on the last minion, and the others free again."""
+    """Start the task on the last minion, and leave the others free again."""
     others = 2 * (pool.minions - 1)
     if others:
         for index in range(others):
@@ -118,10 +120,10 @@
     return pool.stand_ins[pool.where()]
 
 
-# A task waits for room when a run of it is found after all, by a look that an earlier
-# one should have made impossible. The owner stops what it found; room is free elsewhere
-# before the run has ended, and the task starts there beside it. The lines of a day with
-# this are `run_found` with `phase: waiting`, then a second run of the task.
+# Guards against a second run of a task whose run is found while the task waits for
+# capacity, although an earlier probe should have ruled that out. If the owner stopped
+# the run, capacity could become free elsewhere before its end, and the task would start
+# there. The log shows `run_found` with `phase: waiting`, then a second run of the task.
 def test_run_found_while_its_task_waits_is_adopted():
     async def scenario(pool):
         owner, _ = pool.start_owner(1, pool.calls())
@@ -149,10 +151,11 @@
     assert [message.done for message in requester.messages] == [(0,)]
 
 
-# All looks at a minion are without an answer until every lease there is over. While the
-# store is asked whether the pool is still this owner's, for as long as the store likes,
-# the minion answers another call: so it lives, and an extension of leases that was held
-# up may have come. Its runs go on, and were started elsewhere beside that.
+# Guards against a second run of a task on a minion that answers while it is being given
+# up. No probe is answered until every lease on the minion has expired. The owner then
+# asks the store whether it still has the pool, which can take any time, and meanwhile
+# the minion answers another call. It is alive, and a delayed lease renewal may have
+# reached it, so its runs continue; they were started elsewhere beside that.
 @pytest.mark.parametrize("confirm_delay", [170, 200, 400])
 def test_minion_that_answers_during_confirmation_is_probed_again(
     confirm_delay,
@@ -180,10 +183,11 @@
     assert pool.book.broken == []
 
 
-# The store goes away just after a pool was taken, so that its new owner cannot read the
-# list of minions. It holds the runs of a host that has died, which nobody claims; the
-# caller's program sends the job again 1.3 s after its connection broke, to another data
-# centre. The owner waited for its list, and the first run went on beside the second.
+# Guards against orphaned runs that continue beside a second run. The store becomes
+# unavailable just after a takeover, so the new owner cannot read the list of minions.
+# They have runs of a host that has died, which nobody claims; the caller's program
+# sends the job again 1.3 s after its connection broke, to another data centre. The
+# owner used to wait for the list before it stopped the first run.
 @pytest.mark.parametrize("listed_after", [10, 1_000, 3_000])
 def test_orphaned_runs_are_stopped_without_a_minion_list(listed_after):
     async def scenario(pool):
@@ -209,9 +213,10 @@
     assert after == set()
 
 
-# A minion's entry expired while the store was away. It still runs a task and answers
-# its owner, so it is kept; then it goes out of reach. Having been missing for long, it
-# was taken for gone at once, and its task ran elsewhere while its lease went on.
+# Guards against a second run of a task on an unlisted minion. The minion's entry
+# expired while the store was unavailable. It still runs a task and answers its owner,
+# so it is kept; then it becomes unreachable. As it had been missing for long, it was
+# treated as gone at once, and its task ran elsewhere while its lease had not expired.
 def test_unlisted_minion_is_kept_until_its_leases_expire():
     async def scenario(pool):
         calls = pool.calls()
--- a/tests/pool/test_takeover_series.py
+++ b/tests/pool/test_takeover_series.py
@@ -1,4 +1,4 @@
-"""Check that takeovers in series run no task twice, whatever answers are lost."""
+"""Check that a series of takeovers runs no task twice, whatever replies are lost."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
 from brasstray.peer.message.tasks_returned import TasksReturned
 from brasstray_standins.call_chaos import CallChaos
 
-# More are played by hand.
+# More seeds are run by hand.
 SEED_COUNT = int(os.environ.get("SERIES_SEEDS", "10"))
-# After this a caller without an answer sends its job again.
+# A caller without an answer sends its job again after this time.
 RESEND_PAUSE = timedelta(milliseconds=1_300)
-# What may pass before an owner's death is noticed by the next one: a reset at once,
-# silence only later.
+# Time until the next owner notices the death of the previous one: a connection reset is
+# seen at once, silence only later.
 DETECTION_DELAYS_MS = (30, 60, 150, 400, 500, 700)
 SERIES_DURATION = timedelta(seconds=8)
 TASK_COUNT = 3
@@ -32,7 +32,7 @@
 
 @dataclass
 class Caller(Requester):
-    """Claim the tasks of one job from each new owner, and send it again if given up."""
+    """Claim the tasks of a job from each new owner; send it again if given up."""
 
     pool: object
     random: Random
@@ -57,14 +57,14 @@
         self.owner.run_tasks(self, wanted)
 
     async def switch_to(self, owner, *, claimed):
-        """Ask `owner` from now on, as soon as its takeover is known."""
+        """Send requests to `owner` from now on, once its takeover is known."""
         if claimed:
             await self.pool.clock.sleep(ms(self.random.choice((2, 20, 100, 250))))
         self.owner = owner
         self.send(claimed=claimed)
 
     async def send_again(self):
-        """Stop a job that was given up; send it again after the pause."""
+        """Stop a job that was given up, and send it again after the pause."""
         while True:
             await self.pool.clock.sleep(ms(5))
             if not self.given_up:
@@ -78,7 +78,7 @@
 
 @dataclass
 class TakeoverSeries:
-    """Put a pool into the hands of one owner after the other, at random."""
+    """Hand a pool from one owner to the next at random times."""
 
     pool: object
     random: Random
@@ -128,7 +128,7 @@
     ("late", "unanswered"), [(0.35, 0.0), (0.2, 0.2), (0.0, 0.35), (0.1, 0.05)]
 )
 def test_takeovers_in_series_run_no_task_twice(late, unanswered, seed):
-    """No second run or overfull minion while owners follow one another."""
+    """No task runs twice, and no minion is overcommitted, over a series of owners."""
     random = Random(f"{late} {unanswered} {seed}")
 
     async def scenario(pool):
--- a/tests/pool/test_task_registry.py
+++ b/tests/pool/test_task_registry.py
@@ -1,4 +1,4 @@
-"""Check when whoever asked for tasks is told how they ended."""
+"""Check when a requester is told how its tasks ended."""
 
 from __future__ import annotations
 
@@ -66,8 +66,8 @@
     ],
 )
 def test_ends_are_batched_until_the_last_of_their_step(ends, told):
-    # A job of eight tasks ends with its last one. Told one by one, seven of eight
-    # messages would have the waiting host wake for nothing.
+    # A job of eight tasks ends with its last one. With a message for each, seven of
+    # eight would wake the waiting host for nothing.
     requester = Requester()
 
     async def scenario():
