--- a/src/brasstray/peer/__init__.py
+++ b/src/brasstray/peer/__init__.py
@@ -1,1 +1,1 @@
-"""Carry messages between entry hosts."""
+"""Exchange messages between hosts."""
--- a/src/brasstray/peer/envelope.py
+++ b/src/brasstray/peer/envelope.py
@@ -1,4 +1,4 @@
-"""Wrap a message for its way between two entry hosts."""
+"""Define the envelope of a call or reply between two entry hosts."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class EnvelopeKind(Enum):
-    """Tell what an envelope carries."""
+    """Distinguish calls, replies and calls rejected without being handled."""
 
     CALL = "call"
     REPLY = "reply"
@@ -20,7 +20,7 @@
 
 
 class Envelope(BaseModel):
-    """Carry a message, who it is from and for, and the number of its call."""
+    """Hold a message, its sender and receiver, and the number of its call."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -31,12 +31,12 @@
     message: Message | None = None
 
     def encode(self) -> bytes:
-        """Return the envelope in CBOR."""
+        """Return the envelope encoded as CBOR."""
         return cbor2.dumps(self.model_dump(mode="json"))
 
     @classmethod
     def decode(cls, data: bytes) -> Envelope:
-        """Return the envelope in `data`; raise ValueError if there is none."""
+        """Decode an envelope from CBOR; raise ValueError if `data` is malformed."""
         try:
             return cls.model_validate(cbor2.loads(data))
         except cbor2.CBORDecodeError as error:
--- a/src/brasstray/peer/errors.py
+++ b/src/brasstray/peer/errors.py
@@ -1,22 +1,22 @@
-"""Name what can go wrong between entry hosts."""
+"""Define the errors of calls between hosts."""
 
 from __future__ import annotations
 
 
 class PeerError(Exception):
-    """Base of the peer layer's errors."""
+    """Base class of the errors in this package."""
 
 
 class PeerNotReachedError(PeerError):
-    """The message was not sent, or was refused unread: it had no effect."""
+    """The message was not sent, or was rejected unhandled: it had no effect."""
 
 
 class PeerReplyLostError(PeerError):
-    """The message was sent and no reply came: it may have had its effect."""
+    """The message was sent but no reply arrived: it may have taken effect."""
 
 
 class UnreadableMessageError(PeerError):
-    """What came is no message of this protocol."""
+    """The received data is not a message of this protocol."""
 
 
 __all__ = [
--- a/src/brasstray/peer/handler.py
+++ b/src/brasstray/peer/handler.py
@@ -1,4 +1,4 @@
-"""Define what answers the messages of other entry hosts."""
+"""Define the interface that handles messages from other entry hosts."""
 
 from __future__ import annotations
 
@@ -10,10 +10,10 @@
 
 
 class Handler(Protocol):
-    """Answer messages."""
+    """Handle messages from other entry hosts."""
 
     async def handle(self, sender: IncarnationId, message: Message) -> Message:
-        """Return the reply to `message`."""
+        """Handle `message` and return the reply."""
 
 
 __all__ = ["Handler"]
--- a/src/brasstray/peer/link.py
+++ b/src/brasstray/peer/link.py
@@ -1,4 +1,4 @@
-"""Hold the connection to one peer and match replies with calls."""
+"""Manage the connection to one peer and match replies with calls."""
 
 from __future__ import annotations
 
@@ -33,10 +33,10 @@
 
 
 class PeerLink:
-    """Call one peer over one connection, which is opened anew when lost.
+    """Call one peer over a single connection, and reconnect after it is lost.
 
-    Pings find a connection that has gone silent: it is closed within four seconds,
-    its calls end as replies lost, and the next call opens another.
+    Pings detect an unresponsive connection, which is closed within four seconds. Its
+    pending calls raise PeerReplyLostError, and the next call opens a new connection.
     """
 
     def __init__(self, sender: IncarnationId, uri: str, group: TaskGroup) -> None:
@@ -50,13 +50,16 @@
 
     @property
     def uri(self) -> str:
-        """Return where the peer listens."""
+        """Return the websocket URI of the peer."""
         return self._uri
 
     async def call(
         self, receiver: IncarnationId | None, message: Message, patience: timedelta
     ) -> Message:
-        """Return the reply; raise PeerNotReachedError or PeerReplyLostError."""
+        """Send `message` and return the reply.
+
+        Raise PeerNotReachedError or PeerReplyLostError, as defined by `Peers.call`.
+        """
         connection = await self._connect()
         number, call = next(self._numbers), _Call()
         envelope = Envelope(
@@ -76,9 +79,11 @@
         finally:
             del self._calls[number]
         if call.reply is None:
-            raise PeerReplyLostError(f"{self._uri} gave no reply")
+            raise PeerReplyLostError(f"no reply from {self._uri}")
         if call.reply.kind is EnvelopeKind.REFUSED_UNREAD:
-            raise PeerNotReachedError(f"{receiver} does not run at {self._uri}")
+            raise PeerNotReachedError(
+                f"incarnation {receiver} is not running at {self._uri}"
+            )
         assert call.reply.message is not None
         return call.reply.message
 
--- a/src/brasstray/peer/message/__init__.py
+++ b/src/brasstray/peer/message/__init__.py
@@ -1,1 +1,1 @@
-"""Hold one kind of message between entry hosts a module."""
+"""Define the messages between hosts, one per module."""
--- a/src/brasstray/peer/message/answer_reply.py
+++ b/src/brasstray/peer/message/answer_reply.py
@@ -1,4 +1,4 @@
-"""Give the answer to a passed-on submission, fetch or cancellation."""
+"""Return the answer to a forwarded submission, fetch or cancellation."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class AnswerReply(PeerMessage):
-    """Give the answer to a passed-on submission, fetch or cancellation."""
+    """Return the answer to a forwarded submission, fetch or cancellation."""
 
     kind: Literal["answer"] = "answer"
     answer: Answer
--- a/src/brasstray/peer/message/ask_table.py
+++ b/src/brasstray/peer/message/ask_table.py
@@ -1,4 +1,4 @@
-"""Ask a peer for the table in force there."""
+"""Request the operators' table that is in force on a peer."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class AskTable(PeerMessage):
-    """Ask a peer for the table in force there."""
+    """Request the operators' table that is in force on a peer."""
 
     kind: Literal["ask_table"] = "ask_table"
 
--- a/src/brasstray/peer/message/bind.py
+++ b/src/brasstray/peer/message/bind.py
@@ -1,4 +1,4 @@
-"""Ask the leader which incarnation may start a job's tasks."""
+"""Ask the leader to decide which incarnation may start a job's tasks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Bind(PeerMessage):
-    """Ask the leader which incarnation may start a job's tasks."""
+    """Ask the leader to decide which incarnation may start a job's tasks."""
 
     kind: Literal["bind"] = "bind"
     wanted: Bound
--- a/src/brasstray/peer/message/borrow_slots.py
+++ b/src/brasstray/peer/message/borrow_slots.py
@@ -1,4 +1,4 @@
-"""Ask a peer for credits to fill slots, for tasks that wait."""
+"""Ask a peer for slot credits for waiting tasks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class BorrowSlots(PeerMessage):
-    """Ask a peer for credits to fill slots, for tasks that wait."""
+    """Ask a peer for slot credits for waiting tasks."""
 
     kind: Literal["borrow_slots"] = "borrow_slots"
     service: ServiceName
--- a/src/brasstray/peer/message/cancel.py
+++ b/src/brasstray/peer/message/cancel.py
@@ -1,4 +1,4 @@
-"""Ask for a job's starts to stop."""
+"""Ask the executor of a job to start no more of its tasks."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Cancel(PeerMessage):
-    """Ask for a job's starts to stop."""
+    """Ask the executor of a job to start no more of its tasks."""
 
     kind: Literal["cancel"] = "cancel"
     job: JobId
--- a/src/brasstray/peer/message/config_part.py
+++ b/src/brasstray/peer/message/config_part.py
@@ -1,4 +1,4 @@
-"""Pass a part of a configuration on to a host that has asked for it."""
+"""Send part of a configuration to a host that has requested it."""
 
 from __future__ import annotations
 
@@ -7,10 +7,10 @@
 
 
 class ConfigPart(HostMessage, frozen=True, kw_only=True, tag="config_part"):
-    """Hold the bytes of a text from `offset` on; the whole text has `size` bytes.
+    """Hold part of a configuration text of `size` bytes, starting at byte `offset`.
 
-    `version` is the one that the sender has now, which may be newer than the one asked
-    for; then the part is the first one.
+    `version` is the sender's current one, which may be newer than the one requested;
+    in that case, the part is the first one.
     """
 
     version: ConfigVersion
--- a/src/brasstray/peer/message/config_wanted.py
+++ b/src/brasstray/peer/message/config_wanted.py
@@ -1,4 +1,4 @@
-"""Ask a host for a part of the configuration that it has."""
+"""Request part of a host's configuration."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class ConfigWanted(HostMessage, frozen=True, kw_only=True, tag="config_wanted"):
-    """Ask for the text of `version` from its byte `offset` on."""
+    """Request the text of `version`, starting at byte `offset`."""
 
     version: ConfigVersion
     offset: int = 0
--- a/src/brasstray/peer/message/done.py
+++ b/src/brasstray/peer/message/done.py
@@ -1,4 +1,4 @@
-"""Tell that there is nothing to tell."""
+"""Acknowledge a message whose reply carries no data."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Done(PeerMessage):
-    """Tell that there is nothing to tell."""
+    """Acknowledge a message whose reply carries no data."""
 
     kind: Literal["done"] = "done"
 
--- a/src/brasstray/peer/message/drop_copies.py
+++ b/src/brasstray/peer/message/drop_copies.py
@@ -1,4 +1,4 @@
-"""Let a replica forget copies that are flushed."""
+"""Tell a replica that it may discard copies of flushed records."""
 
 from __future__ import annotations
 
@@ -8,7 +8,10 @@
 
 
 class DropCopies(PeerMessage):
-    """Let a replica forget copies that are flushed."""
+    """Tell a replica that it may discard copies of flushed records.
+
+    It discards those of `term` that are numbered below `below`.
+    """
 
     kind: Literal["drop_copies"] = "drop_copies"
     term: int
--- a/src/brasstray/peer/message/fence_reply.py
+++ b/src/brasstray/peer/message/fence_reply.py
@@ -1,4 +1,4 @@
-"""Give a fenced term's copies, or None if its leader never sent any."""
+"""Return the copies of a fenced term, or None if its leader never sent any."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class FenceReply(PeerMessage):
-    """Give a fenced term's copies, or None if its leader never sent any."""
+    """Return the copies of a fenced term, or None if its leader never sent any."""
 
     kind: Literal["fence_reply"] = "fence_reply"
     records: list[Record] | None
--- a/src/brasstray/peer/message/fence_term.py
+++ b/src/brasstray/peer/message/fence_term.py
@@ -1,4 +1,4 @@
-"""Ask a replica to refuse a term from now on and to give its copies."""
+"""Ask a replica to reject a term from now on and to return its copies."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class FenceTerm(PeerMessage):
-    """Ask a replica to refuse a term from now on and to give its copies."""
+    """Ask a replica to reject a term from now on and to return its copies."""
 
     kind: Literal["fence_term"] = "fence_term"
     term: int
--- a/src/brasstray/peer/message/fetch.py
+++ b/src/brasstray/peer/message/fetch.py
@@ -1,4 +1,4 @@
-"""Ask for the answer to a job."""
+"""Request the answer to a job."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Fetch(PeerMessage):
-    """Ask for the answer to a job."""
+    """Request the answer to a job."""
 
     kind: Literal["fetch"] = "fetch"
     job: JobId
--- a/src/brasstray/peer/message/grant_slots.py
+++ b/src/brasstray/peer/message/grant_slots.py
@@ -1,4 +1,4 @@
-"""Give a peer credits, by minion, that it asked for earlier."""
+"""Send a peer the slot credits per minion that it requested earlier."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class GrantSlots(PeerMessage):
-    """Give a peer credits, by minion, that it asked for earlier."""
+    """Send a peer the slot credits per minion that it requested earlier."""
 
     kind: Literal["grant_slots"] = "grant_slots"
     minions: dict[str, int]
--- a/src/brasstray/peer/message/heartbeat.py
+++ b/src/brasstray/peer/message/heartbeat.py
@@ -1,4 +1,4 @@
-"""Tell a peer that the sender lives, and what it believes of the journal."""
+"""Report that the sender is alive, and its view of the journal's leader."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class Heartbeat(PeerMessage):
-    """Tell a peer that the sender lives, and what it believes of the journal."""
+    """Report that the sender is alive, and its view of the journal's leader."""
 
     kind: Literal["heartbeat"] = "heartbeat"
     sender: IncarnationId
--- a/src/brasstray/peer/message/hello.py
+++ b/src/brasstray/peer/message/hello.py
@@ -1,4 +1,4 @@
-"""Open a link to the owner of a pool."""
+"""Define the first message on a connection to a pool owner."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class Hello(HostMessage, frozen=True, kw_only=True, tag="hello"):
-    """Say who opens a link, and what it knows of the operators' wishes.
+    """Identify the connecting host, and report its configuration and evacuations.
 
-    `power` is the share of a core that the host has, times the core's speed.
+    `power` is the share of a core that the host has, multiplied by the core's speed.
     """
 
     host: HostName
--- a/src/brasstray/peer/message/hold_copies.py
+++ b/src/brasstray/peer/message/hold_copies.py
@@ -1,4 +1,4 @@
-"""Ask a replica to keep copies of unflushed records, by number."""
+"""Ask a replica to keep copies of unflushed records, by record number."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class HoldCopies(PeerMessage):
-    """Ask a replica to keep copies of unflushed records, by number."""
+    """Ask a replica to keep copies of unflushed records, by record number."""
 
     kind: Literal["hold_copies"] = "hold_copies"
     term: int
--- a/src/brasstray/peer/message/hold_reply.py
+++ b/src/brasstray/peer/message/hold_reply.py
@@ -1,4 +1,4 @@
-"""Tell whether copies are held; they are not if the term is fenced."""
+"""Report whether copies are held; they are not if the term is fenced."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class HoldReply(PeerMessage):
-    """Tell whether copies are held; they are not if the term is fenced."""
+    """Report whether copies are held; they are not if the term is fenced."""
 
     kind: Literal["hold_reply"] = "hold_reply"
     held: bool
--- a/src/brasstray/peer/message/host_message.py
+++ b/src/brasstray/peer/message/host_message.py
@@ -1,4 +1,4 @@
-"""Carry a message between hosts that run jobs and owners of pools."""
+"""Define the base class of messages between coordinators and pool owners."""
 
 from __future__ import annotations
 
@@ -8,11 +8,12 @@
 class HostMessage(
     msgspec.Struct, frozen=True, tag_field="kind", omit_defaults=True, kw_only=True
 ):
-    """Keep a message from being changed; its kind travels with it.
+    """Make a message immutable and encode its type in the field `kind`.
 
-    A message takes 0.022 ms to write and read, and 0.030 as a model of pydantic. What
-    counts more: a host that does not load pydantic is 10 MB smaller and starts in a
-    quarter less processor time (38.6 MB against 48.5, 0.57 s against 0.78, at import).
+    msgspec encodes and decodes a message in 0.022 ms, pydantic in 0.030 ms. What
+    matters more: without importing pydantic, a host takes 10 MB less memory and a
+    quarter less CPU time to start (38.6 MB and 0.57 s instead of 48.5 MB and 0.78 s,
+    measured at import).
     """
 
 
--- a/src/brasstray/peer/message/journal_refusal.py
+++ b/src/brasstray/peer/message/journal_refusal.py
@@ -1,4 +1,4 @@
-"""Tell that the receiver does not lead, or cannot commit now."""
+"""Report that the receiver isn't the leader, or can't commit at present."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class JournalRefusal(PeerMessage):
-    """Tell that the receiver does not lead, or cannot commit now."""
+    """Report that the receiver isn't the leader, or can't commit at present."""
 
     kind: Literal["journal_refusal"] = "journal_refusal"
     leads: bool
--- a/src/brasstray/peer/message/journal_reply.py
+++ b/src/brasstray/peer/message/journal_reply.py
@@ -1,4 +1,4 @@
-"""Give what the journal says of a job."""
+"""Return what the journal has recorded about a job."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class JournalReply(PeerMessage):
-    """Give what the journal says of a job."""
+    """Return what the journal has recorded about a job."""
 
     kind: Literal["journal"] = "journal"
     bound: Bound | None = None
--- a/src/brasstray/peer/message/look_up.py
+++ b/src/brasstray/peer/message/look_up.py
@@ -1,4 +1,4 @@
-"""Ask the leader what is committed of a job, and for suspects to be fenced."""
+"""Ask the leader what is committed about a job, and to fence a suspect."""
 
 from __future__ import annotations
 
@@ -11,9 +11,10 @@
 
 
 class LookUp(PeerMessage):
-    """Ask the leader what is committed of a job, and for suspects to be fenced.
+    """Ask the leader what is committed about a job, and to fence a suspect.
 
-    `suspect` is an incarnation that does not reply to the sender.
+    `suspect` says that the executor doesn't reply to the sender; the leader fences it
+    if it also considers it gone.
     """
 
     kind: Literal["look_up"] = "look_up"
--- a/src/brasstray/peer/message/peer_message.py
+++ b/src/brasstray/peer/message/peer_message.py
@@ -1,4 +1,4 @@
-"""Keep a message between entry hosts from being changed."""
+"""Make a message between entry hosts immutable."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class PeerMessage(BaseModel):
-    """Keep a message between entry hosts from being changed."""
+    """Make a message between entry hosts immutable."""
 
     model_config = ConfigDict(frozen=True)
 
--- a/src/brasstray/peer/message/ping.py
+++ b/src/brasstray/peer/message/ping.py
@@ -1,4 +1,4 @@
-"""Show that the sender lives."""
+"""Define the heartbeat of a host to a pool owner."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class Ping(HostMessage, frozen=True, kw_only=True, tag="ping"):
-    """Show that the sender lives, and what it knows of the operators' wishes."""
+    """Report that the sender is alive, and its configuration and evacuations."""
 
     config_version: ConfigVersion
     evacuations: EvacuationSet = NEVER_READ
--- a/src/brasstray/peer/message/pool_minions.py
+++ b/src/brasstray/peer/message/pool_minions.py
@@ -1,4 +1,4 @@
-"""Tell the hosts of a data centre which minions its pool has."""
+"""Report the minions of a pool to the hosts of its data centre."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 
 class PoolMinions(HostMessage, frozen=True, kw_only=True, tag="pool_minions"):
-    """Tell which minions the owner holds, also those that the store does not list.
+    """List the minions in the pool, including those that the store doesn't list.
 
-    Whoever takes the pool over must find out what runs on all of them.
+    The next owner of the pool must find out what runs on each of them.
     """
 
     minions: tuple[MinionEntry, ...]
--- a/src/brasstray/peer/message/pool_state.py
+++ b/src/brasstray/peer/message/pool_state.py
@@ -1,4 +1,4 @@
-"""Report what a host owns and how much free capacity it has."""
+"""Report which pool a host owns and its free capacity."""
 
 from __future__ import annotations
 
@@ -13,10 +13,11 @@
 class PoolState(HostMessage, frozen=True, kw_only=True, tag="pool_state"):
     """Report which pool the sender owns, if any, and its free capacity.
 
-    `incarnation` tells a process that has not heard yet that its claim was written from
-    one that was started since. `free_slots` is how many usual tasks could start now.
-    `wait_ms` is how long a new task would wait. `ready` is false until the owner knows
-    what its minions run. `resigning` asks another host to take the pool.
+    `incarnation` distinguishes a process that hasn't yet learned that its claim was
+    written from one that has been started since. `free_slots` is the number of typical
+    tasks that could start now. `wait_ms` is how long a new task would wait. `ready` is
+    false until the owner knows which tasks its minions run. `resigning` asks another
+    host to take over the pool.
     """
 
     incarnation: IncarnationId
--- a/src/brasstray/peer/message/record_answer.py
+++ b/src/brasstray/peer/message/record_answer.py
@@ -1,4 +1,4 @@
-"""Ask the leader to commit an answer before the caller is told."""
+"""Ask the leader to commit an answer before it is sent to the caller."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class RecordAnswer(PeerMessage):
-    """Ask the leader to commit an answer before the caller is told."""
+    """Ask the leader to commit an answer before it is sent to the caller."""
 
     kind: Literal["record_answer"] = "record_answer"
     wanted: Answered
--- a/src/brasstray/peer/message/run_tasks.py
+++ b/src/brasstray/peer/message/run_tasks.py
@@ -1,4 +1,4 @@
-"""Ask the owner of a pool to run tasks."""
+"""Ask a pool owner to run tasks."""
 
 from __future__ import annotations
 
@@ -8,13 +8,14 @@
 
 
 class RunTasks(HostMessage, frozen=True, kw_only=True, tag="run_tasks"):
-    """Ask the owner of a pool to run some tasks of one step of a job.
-
-    `due_ms`, `useful_ms` and `limit_ms` count from the sending: when the job's
-    objective ends, until when a late answer is of some use, and when its caller leaves.
-    `claimed` says that an owner of this pool was asked before, so that the tasks may
-    run already; `forwarded` that another pool had no room, and `begun` that a task of
-    the job may have been sent to a minion before.
+    """Ask a pool owner to run some tasks of one step of a job.
+
+    Three times are given in ms from the moment of sending: `due_ms`, the end of the
+    job's objective; `useful_ms`, until when a late answer has some value; `limit_ms`,
+    when the caller gives up. `claimed` says that an owner of this pool was asked
+    before, so that the tasks may already be running; `forwarded`, that another pool had
+    no free capacity; `begun`, that a task of the job may already have been sent to a
+    minion.
     """
 
     batch: BatchId
--- a/src/brasstray/peer/message/slots_granted.py
+++ b/src/brasstray/peer/message/slots_granted.py
@@ -1,4 +1,4 @@
-"""Give the asking peer credits, by minion."""
+"""Reply to BorrowSlots with the slot credits granted per minion."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class SlotsGranted(PeerMessage):
-    """Give the asking peer credits, by minion."""
+    """Reply to BorrowSlots with the slot credits granted per minion."""
 
     kind: Literal["slots_granted"] = "slots_granted"
     minions: dict[str, int]
--- a/src/brasstray/peer/message/stop_tasks.py
+++ b/src/brasstray/peer/message/stop_tasks.py
@@ -1,4 +1,4 @@
-"""Tell the owner of a pool that tasks are not wanted any more."""
+"""Ask a pool owner to stop the tasks of a job."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class StopTasks(HostMessage, frozen=True, kw_only=True, tag="stop_tasks"):
-    """Ask that no task of a job starts any more and that those active are stopped."""
+    """Ask a pool owner to stop the running tasks of a job and to start no more."""
 
     batch: BatchId
 
--- a/src/brasstray/peer/message/submit.py
+++ b/src/brasstray/peer/message/submit.py
@@ -1,4 +1,4 @@
-"""Pass a submission on to the host that may run it, or that knows who may."""
+"""Forward a submission to its executor, or to a host that knows the executor."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 class Submit(PeerMessage):
-    """Pass a submission on to the host that may run it, or that knows who may."""
+    """Forward a submission to its executor, or to a host that knows the executor."""
 
     kind: Literal["submit"] = "submit"
     job: JobId
--- a/src/brasstray/peer/message/successors.py
+++ b/src/brasstray/peer/message/successors.py
@@ -1,4 +1,4 @@
-"""Tell the hosts of a data centre who takes the pool next."""
+"""Announce the successors of a pool owner to the hosts of its data centre."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class Successors(HostMessage, frozen=True, kw_only=True, tag="successors"):
-    """Name the hosts that take the pool over, in this order, if its owner is lost."""
+    """List the hosts that take over the pool if its owner is lost, in this order."""
 
     hosts: tuple[HostName, ...]
 
--- a/src/brasstray/peer/message/table_reply.py
+++ b/src/brasstray/peer/message/table_reply.py
@@ -1,4 +1,4 @@
-"""Give the table in force, if the host has learned which that is."""
+"""Return the operators' table in force; `ready` is false if it isn't known."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 class TableReply(PeerMessage):
-    """Give the table in force, if the host has learned which that is."""
+    """Return the operators' table in force; `ready` is false if it isn't known."""
 
     kind: Literal["table_reply"] = "table_reply"
     table: Table
--- a/src/brasstray/peer/message/tasks_ended.py
+++ b/src/brasstray/peer/message/tasks_ended.py
@@ -1,4 +1,4 @@
-"""Tell who asked for tasks how they ended."""
+"""Report the outcome of tasks to the host that requested them."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 class TasksEnded(HostMessage, frozen=True, kw_only=True, tag="tasks_ended"):
-    """Tell which tasks are done and which have failed for good."""
+    """List the tasks that are done and those that have failed permanently."""
 
     batch: BatchId
     step: int
--- a/src/brasstray/peer/message/tasks_returned.py
+++ b/src/brasstray/peer/message/tasks_returned.py
@@ -1,4 +1,4 @@
-"""Return tasks that this pool will not run."""
+"""Return tasks that a pool will not run to the host that requested them."""
 
 from __future__ import annotations
 
@@ -11,10 +11,11 @@
 class TasksReturned(HostMessage, frozen=True, kw_only=True, tag="tasks_returned"):
     """Return tasks that were not started, and name a pool with free capacity.
 
-    Without a pool, the tasks cannot be run before their caller leaves; a new job would
-    wait for `wait_ms`. `begun` says that a task of the step was sent to a minion
-    before, whatever became of it; `outcome_unknown` that they may run on a minion that
-    is unreachable; `evacuated` that nothing may start in the pool's data centre.
+    If `pool` is None, no pool can run the tasks before their caller gives up, and a new
+    job would wait for `wait_ms`. `begun` says that a task of the step was already sent
+    to a minion, whatever its outcome; `outcome_unknown`, that the tasks may be running
+    on an unreachable minion; `evacuated`, that no task may start in the pool's data
+    centre.
     """
 
     batch: BatchId
--- a/src/brasstray/peer/message_stream.py
+++ b/src/brasstray/peer/message_stream.py
@@ -1,4 +1,4 @@
-"""Define a connection that carries messages between two hosts."""
+"""Define the interface to a message connection between two hosts."""
 
 from __future__ import annotations
 
@@ -9,31 +9,31 @@
 
 
 class StreamClosedError(Exception):
-    """The connection has ended, or could not be opened."""
+    """The connection is closed, or could not be opened."""
 
 
 class NobodyListensError(StreamClosedError):
-    """The host is there, but no process of ours runs on it."""
+    """The host refused the connection: no process listens on the port."""
 
 
 class MessageStream(Protocol):
     """Send and receive messages in order; every method may raise StreamClosedError."""
 
     async def send(self, messages: list[PoolMessage]) -> None:
-        """Send `messages`; wait while the other side does not read."""
+        """Send `messages`; block while the receiver applies back-pressure."""
 
     async def receive(self) -> list[PoolMessage]:
-        """Return the next messages."""
+        """Wait for the next messages and return them."""
 
     async def aclose(self) -> None:
-        """End the connection at once."""
+        """Close the connection without a closing handshake."""
 
 
 class StreamOpener(Protocol):
     """Open connections to other hosts."""
 
     async def open(self, address: str, port: int) -> MessageStream:
-        """Return a connection; raise StreamClosedError if there is none in time."""
+        """Connect; raise StreamClosedError on failure or timeout."""
 
 
 __all__ = ["MessageStream", "NobodyListensError", "StreamClosedError", "StreamOpener"]
--- a/src/brasstray/peer/messages.py
+++ b/src/brasstray/peer/messages.py
@@ -1,4 +1,4 @@
-"""Join the kinds of messages between entry hosts."""
+"""Define the union of all messages between entry hosts."""
 
 from __future__ import annotations
 
--- a/src/brasstray/peer/peers.py
+++ b/src/brasstray/peer/peers.py
@@ -21,10 +21,11 @@
         message: Message,
         patience: timedelta,
     ) -> Message:
-        """Return the reply of `receiver`, or of whichever incarnation runs on `host`.
+        """Send `message` to `host` and return the reply.
 
-        Raise PeerNotReachedError if the message had no effect, PeerReplyLostError if
-        it may have had.
+        If `receiver` is given, only that incarnation handles the message; otherwise
+        whichever runs on `host` does. Raise PeerNotReachedError if the message had no
+        effect, and PeerReplyLostError if it may have had one.
         """
 
 
--- a/src/brasstray/peer/pipe.py
+++ b/src/brasstray/peer/pipe.py
@@ -1,4 +1,4 @@
-"""Send messages over a connection without waiting, and hear them with a time limit."""
+"""Send queued messages over a connection and detect a silent peer."""
 
 from __future__ import annotations
 
@@ -15,15 +15,16 @@
     from brasstray.peer.message_stream import MessageStream
     from brasstray.peer.pool_messages import PoolMessage
 
-# Far more than a host sends in the time after which a peer counts as silent; a peer
-# that reads so slowly is cut off instead of filling the memory.
+# Far more than a host sends within the silence timeout. A peer that reads too slowly
+# is disconnected, so that its queue doesn't exhaust the memory.
 MOST_WAITING = 20_000
 
 
 class Pipe:
-    """Run one connection: what waits goes out in one frame.
+    """Run one connection, sending all queued messages in one frame.
 
-    It ends when the connection does, or when nothing was heard for `silence`.
+    The connection is closed when nothing was received for `silence`, or when too many
+    messages are queued. `take` is called with each message received.
     """
 
     def __init__(
@@ -41,20 +42,20 @@
 
     @property
     def open(self) -> bool:
-        """Tell whether messages still go out."""
+        """Return whether messages are still sent."""
         return self._open
 
     def allow_silence(self, silence: timedelta) -> None:
-        """End after this much silence from the next message on."""
+        """Change the silence timeout, starting with the next message received."""
         self._silence = silence
 
     def tell(self, message: PoolMessage) -> None:
-        """Queue `message`, and have all that waits sent."""
+        """Queue `message` and send the queue."""
         self.tell_later(message)
         self._wake.set()
 
     def tell_later(self, message: PoolMessage) -> None:
-        """Queue `message`, to go out with the next one that does not wait."""
+        """Queue `message`, to be sent together with the next call of `tell`."""
         if not self._open:
             return
         if len(self._waiting) >= MOST_WAITING:
@@ -62,7 +63,7 @@
         self._waiting.append(message)
 
     async def run(self) -> str:
-        """Carry messages until the connection ends; return why it did."""
+        """Send and receive until the connection ends; return the reason."""
         reason = "closed"
         try:
             async with anyio.create_task_group() as group:
@@ -96,7 +97,7 @@
                 messages, self._waiting = self._waiting, []
                 await self._stream.send(messages)
         except StreamClosedError:
-            # The reader meets the same end and reports it.
+            # _read gets the same error and returns the reason.
             return
 
 
--- a/src/brasstray/peer/pool_messages.py
+++ b/src/brasstray/peer/pool_messages.py
@@ -1,4 +1,4 @@
-"""Join the kinds of messages between hosts that run jobs and owners of pools."""
+"""Define and encode the messages between coordinators and pool owners."""
 
 from __future__ import annotations
 
@@ -31,22 +31,23 @@
     | TasksEnded
     | TasksReturned
 )
-# What CBOR carries as it is.
+# Types that cbor2 encodes natively, so that msgspec need not convert them.
 _CARRIED = (bytes,)
 
 
 class _Frame(msgspec.Struct, frozen=True, array_like=True):
-    # The types in a structure are worked out once; a bare list's at every call.
+    # msgspec analyses the types of a Struct once, but those of a plain list in every
+    # call.
     messages: list[PoolMessage]
 
 
 def encode_frame(messages: list[PoolMessage]) -> bytes:
-    """Return `messages` as one CBOR frame; defaults are left out."""
+    """Encode `messages` as one CBOR frame, omitting fields with default values."""
     return cbor2.dumps([msgspec.to_builtins(messages, builtin_types=_CARRIED)])
 
 
 def decode_frame(data: bytes) -> list[PoolMessage]:
-    """Return the messages in `data`; raise UnreadableMessageError if it has none."""
+    """Decode a frame; raise UnreadableMessageError if `data` is malformed."""
     try:
         return msgspec.convert(cbor2.loads(data), type=_Frame).messages
     except (cbor2.CBORDecodeError, msgspec.ValidationError, RecursionError) as error:
--- a/src/brasstray/peer/websocket_peers.py
+++ b/src/brasstray/peer/websocket_peers.py
@@ -20,7 +20,7 @@
 
 
 class WebSocketPeers:
-    """Keep one link to each peer that is called."""
+    """Call peers, keeping one connection to each."""
 
     def __init__(
         self,
@@ -42,14 +42,14 @@
         message: Message,
         patience: timedelta,
     ) -> Message:
-        """Return the reply of the peer on `host`."""
+        """Send `message` to the peer on `host` and return the reply."""
         self._metrics.count_peer_call(message.kind)
         return await self._link(host).call(receiver, message, patience)
 
     def _link(self, host: HostName) -> PeerLink:
         listed = self._listing(host)
         if listed is None:
-            raise PeerNotReachedError(f"the platform does not list {host}")
+            raise PeerNotReachedError(f"host {host} is not in the platform's host list")
         uri = f"ws://{listed.address}:{listed.port}"
         link = self._links.get(host)
         if link is None or link.uri != uri:
--- a/src/brasstray/peer/websocket_server.py
+++ b/src/brasstray/peer/websocket_server.py
@@ -1,4 +1,4 @@
-"""Answer the calls of other entry hosts over websockets."""
+"""Serve calls from other entry hosts over websockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class WebSocketServer:
-    """Run one task per connection, and one per call on it."""
+    """Run one asynchronous task per connection, and one per call on it."""
 
     def __init__(self, incarnation: IncarnationId, handler: Handler) -> None:
         self._incarnation = incarnation
@@ -43,8 +43,9 @@
             pass
 
     async def _answer(self, connection: ServerConnection, call: Envelope) -> None:
-        # Guards against a message for an earlier incarnation of this host, whose
-        # jobs and copies are gone: it must learn that nobody has read it.
+        # A message for an earlier incarnation of this host must not be handled: the
+        # jobs and journal copies of that incarnation are gone. The sender learns that
+        # its message had no effect.
         if call.receiver not in (None, self._incarnation) or call.message is None:
             kind, reply = EnvelopeKind.REFUSED_UNREAD, None
         else:
--- a/src/brasstray/peer/websocket_stream.py
+++ b/src/brasstray/peer/websocket_stream.py
@@ -1,4 +1,4 @@
-"""Carry messages between two hosts over a websocket."""
+"""Implement message streams over websockets."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
     from brasstray.peer.pool_messages import PoolMessage
 
-# A connection within a region opens in a few milliseconds; one into a partition would
-# hang, and another is tried instead.
+# A connection within a region opens in a few milliseconds. An attempt across a network
+# partition would hang; after this timeout, the caller tries another host.
 OPEN_PATIENCE_SECONDS = 0.4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 
 
 class WebSocketStream:
-    """Send frames of messages; whoever uses it finds silence by its own heartbeats."""
+    """Send messages in frames; users detect a silent peer by their own heartbeats."""
 
     def __init__(self, connection: Connection) -> None:
         self._connection = connection
@@ -41,7 +41,7 @@
             raise StreamClosedError(str(error)) from error
 
     async def receive(self) -> list[PoolMessage]:
-        """Return the messages of the next frame."""
+        """Wait for the next frame and return its messages."""
         try:
             data = await self._connection.recv(decode=False)
             return decode_frame(data)
@@ -49,15 +49,15 @@
             raise StreamClosedError(str(error)) from error
 
     async def aclose(self) -> None:
-        """Abort the connection: a farewell to a silent peer would only take time."""
+        """Abort the connection: a closing handshake with a silent peer takes time."""
         self._connection.transport.abort()
 
 
 class WebSocketOpener:
-    """Open websockets."""
+    """Open websocket connections to other hosts."""
 
     async def open(self, address: str, port: int) -> WebSocketStream:
-        """Return a connection to the host that listens at `address` and `port`."""
+        """Connect to the host that listens at `address` and `port`."""
         try:
             connection = await connect(
                 f"ws://{address}:{port}",
@@ -83,7 +83,7 @@
 async def serve_streams(
     listener: socket.socket, take: Callable[[WebSocketStream], Awaitable[None]]
 ) -> None:
-    """Call `take` with each connection that comes in, until cancelled."""
+    """Call `take` with each incoming connection, until cancelled."""
 
     async def take_connection(connection: ServerConnection) -> None:
         await take(WebSocketStream(connection))
--- a/tests/peer/test_host_messages.py
+++ b/tests/peer/test_host_messages.py
@@ -1,4 +1,4 @@
-"""Check the names that messages between hosts have on the wire."""
+"""Check the field names of messages between hosts on the wire."""
 
 from __future__ import annotations
 
@@ -29,7 +29,11 @@
     ids=["pool state", "tasks returned"],
 )
 def test_hosts_of_two_versions_read_the_same_fields(message, name, value):
-    """A host of an older version is not told that a task has not run."""
+    """A renamed attribute must keep its field name in the encoded message.
+
+    Otherwise a host of an older version would miss `in_doubt` and take a task that may
+    have run for one that has not.
+    """
     frame = encode_frame([message])
     assert decode_frame(frame) == [message]
     [[carried]] = cbor2.loads(frame)
--- a/tests/peer/test_websockets.py
+++ b/tests/peer/test_websockets.py
@@ -21,7 +21,7 @@
 
 
 class Echo:
-    """Reply at once, or never to term 0."""
+    """Reply immediately, except to term 0, which never gets a reply."""
 
     def __init__(self):
         self.handled = 0
@@ -84,7 +84,7 @@
 
 @pytest.mark.parametrize("data", [b"", b"\xff\xff", b"\x01", b"\xa1\x61a\x01"])
 def test_bytes_that_are_no_envelope_are_refused(data):
-    with pytest.raises(ValueError):  # noqa: PT011 -- any of its kinds will do
+    with pytest.raises(ValueError):  # noqa: PT011 -- any subclass of it
         Envelope.decode(data)
 
 
