--- a/src/brasstray/store/__init__.py
+++ b/src/brasstray/store/__init__.py
@@ -1,1 +1,1 @@
-"""Reach the platform's key-value service and host list."""
+"""Access the platform's key-value service and host list."""
--- a/src/brasstray/store/entry.py
+++ b/src/brasstray/store/entry.py
@@ -1,4 +1,4 @@
-"""Describe one value of the key-value service."""
+"""Define an entry of the key-value service."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class StoreEntry:
-    """Hold a name, its value and the version that wrote it."""
+    """Hold a name, its value and the version of the write that set it."""
 
     name: str
     value: bytes
--- a/src/brasstray/store/errors.py
+++ b/src/brasstray/store/errors.py
@@ -1,22 +1,22 @@
-"""Name what can go wrong between an entry host and the store."""
+"""Define the errors of calls to the store."""
 
 from __future__ import annotations
 
 
 class StoreError(Exception):
-    """Base of the store layer's errors."""
+    """Base class of the errors in this package."""
 
 
 class StoreUnavailableError(StoreError):
-    """The store gave no reply; a write may or may not have taken effect."""
+    """The store returned no usable reply; a write may or may not have taken effect."""
 
 
 class StoreConflictError(StoreError):
-    """The compare of a compare-and-swap failed; nothing was written."""
+    """The version compared by a compare-and-swap differed; nothing was written."""
 
 
 class HistoryLostError(StoreError):
-    """The changes asked for are not known any more; read everything again."""
+    """The store no longer has the requested changes; take a new snapshot."""
 
 
 __all__ = [
--- a/src/brasstray/store/host_kind.py
+++ b/src/brasstray/store/host_kind.py
@@ -1,4 +1,4 @@
-"""List the kinds and states of hosts in the platform's list."""
+"""Define the kinds and states of hosts in the platform's host list."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 
 
 class HostKind(Enum):
-    """Tell what runs on a listed host."""
+    """Distinguish entry hosts and minions."""
 
     ENTRY = "entry"
     MINION = "minion"
 
 
 class HostState(Enum):
-    """Tell whether a listed host stays."""
+    """Distinguish hosts in service from those about to be removed."""
 
     LIVE = "live"
     LEAVING = "leaving"
--- a/src/brasstray/store/host_list.py
+++ b/src/brasstray/store/host_list.py
@@ -1,4 +1,4 @@
-"""Define the interface to the platform's list of hosts."""
+"""Define the interface to the platform's host list."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """Read the list of live and leaving hosts."""
 
     async def hosts(self) -> list[ListedHost]:
-        """Return the list; raise StoreUnavailableError if none could be had."""
+        """Return the list; raise StoreUnavailableError if it can't be read."""
 
 
 __all__ = ["HostList"]
--- a/src/brasstray/store/http_platform.py
+++ b/src/brasstray/store/http_platform.py
@@ -1,4 +1,4 @@
-"""Reach the platform's key-value service and host list over HTTP."""
+"""Access the platform's key-value service and host list over HTTP."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class HttpPlatform:
-    """Call the platform; a call without a reply in time counts as unavailable."""
+    """Call the platform; raise StoreUnavailableError on timeouts and server errors."""
 
     def __init__(self, address: str, port: int, patience: timedelta) -> None:
         self._host = address.encode("ascii")
@@ -49,7 +49,7 @@
         return _version(response)
 
     async def scan(self, prefix: str, after: str = "") -> list[StoreEntry]:
-        """Return a page of entries under `prefix` named beyond `after`, in order."""
+        """Return a page of the entries under `prefix` after `after`, sorted by name."""
         target = f"/scan?{urlencode({'prefix': prefix, 'after': after})}"
         response = await self._call("GET", target)
         return [StoreEntry(*entry) for entry in cbor2.loads(response.content)]
@@ -59,7 +59,7 @@
         await self._call("DELETE", f"/kv/{name}")
 
     async def hosts(self) -> list[ListedHost]:
-        """Return the platform's list of hosts."""
+        """Return the host list, from the cache if the platform reports no change."""
         known = [] if self._tag is None else [(b"if-none-match", self._tag)]
         response = await self._call("GET", "/hosts", headers=known)
         if response.status == 304:
@@ -107,7 +107,7 @@
 def _version(response: httpcore.Response) -> int:
     version = _header(response, VERSION_HEADER)
     if version is None:
-        raise StoreUnavailableError("a reply without a version")
+        raise StoreUnavailableError("response has no version header")
     return int(version)
 
 
--- a/src/brasstray/store/listed_host.py
+++ b/src/brasstray/store/listed_host.py
@@ -1,4 +1,4 @@
-"""Describe one host of the platform's list."""
+"""Define an entry of the platform's host list."""
 
 from __future__ import annotations
 
@@ -9,9 +9,9 @@
 
 
 class ListedHost(BaseModel):
-    """Describe a host as the platform lists it; the list lags.
+    """Describe a host as the platform lists it, which may be out of date.
 
-    `port` takes peers on an entry host and tasks on a minion.
+    `port` accepts connections from peers on an entry host, and tasks on a minion.
     """
 
     model_config = ConfigDict(frozen=True)
--- a/src/brasstray/store/store.py
+++ b/src/brasstray/store/store.py
@@ -17,13 +17,14 @@
         """Return the entry called `name`, if there is one."""
 
     async def swap(self, name: str, value: bytes, expected: int) -> int:
-        """Write `value` if the version is `expected` (ABSENT: no entry yet).
+        """Write `value` if the entry's version is `expected`; return the new version.
 
-        Return the new version; raise StoreConflictError if it was another.
+        ABSENT expects that there is no entry. Raise StoreConflictError if the version
+        differs.
         """
 
     async def scan(self, prefix: str, after: str = "") -> list[StoreEntry]:
-        """Return a page of entries under `prefix` named beyond `after`, in order."""
+        """Return a page of the entries under `prefix` after `after`, sorted by name."""
 
     async def delete(self, name: str) -> None:
         """Remove the entry called `name`, if there is one."""
--- a/src/brasstray/store/watchable_store.py
+++ b/src/brasstray/store/watchable_store.py
@@ -1,4 +1,4 @@
-"""Define the interface to a key-value service that tells of changes."""
+"""Define the interface to a key-value service that reports changes."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True)
 class Snapshot:
-    """Hold entries, and the store's version that they are at least as new as."""
+    """Hold entries that are at least as new as the store's version `as_of`."""
 
     entries: tuple[StoreEntry, ...]
     as_of: int
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class Changes:
-    """Hold what was written and removed after a version, and the version reached."""
+    """Hold the writes and removals after a version, up to version `as_of`."""
 
     written: tuple[StoreEntry, ...]
     removed: tuple[str, ...]
@@ -37,9 +37,10 @@
         """Return all entries under `prefix`; raise StoreUnavailableError."""
 
     async def watch(self, prefix: str, after: int, wait: timedelta) -> Changes:
-        """Return the changes under `prefix` after a version, once there are any.
+        """Wait for changes under `prefix` after version `after`, and return them.
 
-        Return none after `wait`. Raise HistoryLostError if they are not known any more.
+        Return no changes if there are none within `wait`. Raise HistoryLostError if the
+        store no longer has the changes since `after`.
         """
 
 
