--- a/src/brasstray/minion/errors.py
+++ b/src/brasstray/minion/errors.py
@@ -1,4 +1,4 @@
-"""Name how a start on a minion can end without a result."""
+"""Define the errors of starting a task on a minion."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class RetryReason(Enum):
-    """Say why a start gave no result."""
+    """List the reasons why a start returned no result."""
 
     CONNECTION_REFUSED = "connection_refused"
     CONNECTION_LOST = "connection_lost"
@@ -17,7 +17,7 @@
 
 
 class MinionError(Exception):
-    """Base of the minion layer's errors."""
+    """Base class of the errors in this package."""
 
     def __init__(self, reason: RetryReason) -> None:
         super().__init__(reason.value)
@@ -25,7 +25,7 @@
 
     @property
     def reason(self) -> RetryReason:
-        """Return why the start gave no result."""
+        """Return why the start returned no result."""
         return self._reason
 
 
--- a/src/brasstray/minion/http.py
+++ b/src/brasstray/minion/http.py
@@ -26,7 +26,7 @@
 
 
 class HttpMinions:
-    """Hold idle connections per minion; each carries one task at a time."""
+    """Start tasks over connections that are kept open; each carries one at a time."""
 
     def __init__(self) -> None:
         self._places: dict[tuple[str, int], Connections] = {}
@@ -38,7 +38,7 @@
         task: TaskRequest,
         patience: timedelta,
     ) -> JsonValue:
-        """Return the result of `task`, started once on `minion`."""
+        """Start `task` once on `minion` and return its result."""
         place = (minion.address, minion.port)
         connections = self._places.get(place)
         if connections is None:
@@ -50,8 +50,8 @@
         except NotConnectedError as error:
             raise TaskNotRunError(RetryReason.CONNECTION_REFUSED) from error
         except HttpCallError as error:
-            # Guards against a reset after bytes were written: the minion may have
-            # started the task, so it is not sent again behind the caller's back.
+            # If the connection was reset after bytes were written, the minion may have
+            # started the task, so the request must not be resent here.
             raise TaskMayHaveRunError(RetryReason.CONNECTION_LOST) from error
         except TimeoutError as error:
             raise TaskMayHaveRunError(RetryReason.SILENT) from error
--- a/src/brasstray/minion/minions.py
+++ b/src/brasstray/minion/minions.py
@@ -1,4 +1,4 @@
-"""Define the interface to minions."""
+"""Define the interface for starting tasks on minions."""
 
 from __future__ import annotations
 
@@ -24,10 +24,10 @@
         task: TaskRequest,
         patience: timedelta,
     ) -> JsonValue:
-        """Return the result of `task`, started once on `minion`.
+        """Start `task` once on `minion` and return its result.
 
-        Raise TaskNotRunError if it is known not to have run, TaskMayHaveRunError
-        otherwise; `patience` bounds the wait for its reply.
+        If the start fails or `patience` passes without a reply, raise TaskNotRunError
+        if the task is known not to have run, and TaskMayHaveRunError otherwise.
         """
 
 
--- a/src/brasstray/minion/task_id.py
+++ b/src/brasstray/minion/task_id.py
@@ -11,13 +11,13 @@
 
 @dataclass(frozen=True)
 class TaskId:
-    """Identify a task by its job and its place in the job."""
+    """Identify a task by its job and its index in the job."""
 
     job: JobId
     index: int
 
     def text(self) -> str:
-        """Return the id as minions see it."""
+        """Return the ID in the form that is sent to minions."""
         return f"{self.job.caller}/{self.job.key}/{self.index}"
 
 
--- a/tests/minion/test_http_minions.py
+++ b/tests/minion/test_http_minions.py
@@ -1,4 +1,4 @@
-"""Check what a start over HTTP is taken for, whatever the minion does."""
+"""Check the outcome of a start over HTTP for each behaviour of the minion."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class RawMinion:
-    """Read requests and send what it is told to, then close or go silent."""
+    """Send the given answers, one per request: b"" closes, None never replies."""
 
     def __init__(self, answers):
         self.requests = 0
@@ -108,10 +108,10 @@
 
 
 def test_a_reset_after_the_request_was_written_is_not_retried_behind_our_back():
-    """A minion takes a leave deduction and cuts the connection.
+    """An HTTP client must not resend a request after a reset on a reused connection.
 
-    Days may have been deducted. A library that sends the request again on a new
-    connection would deduct them twice. Cause: a lost reply after the effect.
+    The minion may have run the task before its reply was lost. A leave deduction sent
+    again on a new connection would be made twice.
     """
     ended, requests = starts_at([DONE, b"", DONE], count=2)
     assert ended == [7, (TaskMayHaveRunError, RetryReason.CONNECTION_LOST)]
