--- a/src/brasstray/clock/__init__.py
+++ b/src/brasstray/clock/__init__.py
@@ -1,1 +1,1 @@
-"""Give the time, and let tests replace it."""
+"""Provide the time behind an interface that tests can replace."""
--- a/src/brasstray/clock/clock.py
+++ b/src/brasstray/clock/clock.py
@@ -1,4 +1,4 @@
-"""Define the interface to time."""
+"""Define the interface to the clock."""
 
 from __future__ import annotations
 
@@ -9,13 +9,13 @@
 
 
 class Clock(Protocol):
-    """Tell the time and sleep."""
+    """Return the time, and sleep."""
 
     def now(self) -> datetime:
         """Return the wall time in UTC."""
 
     def monotonic(self) -> timedelta:
-        """Return time since an arbitrary start; it never goes back."""
+        """Return the time since an arbitrary start; it never decreases."""
 
     async def sleep(self, duration: timedelta) -> None:
         """Wait for `duration`."""
--- a/src/brasstray/clock/loop.py
+++ b/src/brasstray/clock/loop.py
@@ -1,4 +1,4 @@
-"""Tell the time of the event loop that runs the caller."""
+"""Provide the clock of the running event loop."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class LoopClock:
-    """Read the event loop's clock, so that a virtual loop gives virtual time."""
+    """Read the event loop's clock, which is virtual if the loop is simulated."""
 
     def __init__(self, started: datetime | None = None) -> None:
         self._started = started
         self._time: Callable[[], float] | None = None
 
     def now(self) -> datetime:
-        """Return the wall time in UTC, or `started` plus the loop's time."""
+        """Return the wall time in UTC, or `started`, if given, plus the loop's time."""
         if self._started is None:
             return datetime.now(UTC)
         return self._started + self.monotonic()
@@ -38,8 +38,8 @@
 
 
 def _time_of_loop() -> Callable[[], float]:
-    # Asking anyio finds out at every call which loop runs, which takes ten times as
-    # long as reading the clock.
+    # anyio.current_time detects the running library in every call, which takes ten
+    # times as long as reading the clock.
     in_asyncio = sniffio.current_async_library() == "asyncio"
     return time.monotonic if in_asyncio else anyio.current_time
 
