--- a/src/brasstray/peer/websocket_stream.py
+++ b/src/brasstray/peer/websocket_stream.py
@@ -22,7 +22,7 @@
     from brasstray.peer.pool_messages import PoolMessage
 
 # A connection within a region opens in a few milliseconds. An attempt across a network
-# partition would hang; after this timeout, the caller tries another host.
+# partition would hang; after this timeout, another host is tried.
 OPEN_PATIENCE_SECONDS = 0.4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 
