--- a/src/brasstray/peer/link.py
+++ b/src/brasstray/peer/link.py
@@ -20,9 +20,9 @@
     from brasstray.job.ids import IncarnationId
     from brasstray.peer.messages import Message
 
-CONNECT_PATIENCE_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 PING_INTERVAL_SECONDS = 2.0
-PING_PATIENCE_SECONDS = 2.0
+PING_TIMEOUT_SECONDS = 2.0
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 
 
@@ -54,7 +54,7 @@
         return self._uri
 
     async def call(
-        self, receiver: IncarnationId | None, message: Message, patience: timedelta
+        self, receiver: IncarnationId | None, message: Message, timeout: timedelta
     ) -> Message:
         """Send `message` and return the reply.
 
@@ -72,7 +72,7 @@
         self._calls[number] = call
         try:
             await connection.send(envelope.encode())
-            with anyio.move_on_after(patience.total_seconds()):
+            with anyio.move_on_after(timeout.total_seconds()):
                 await call.ended.wait()
         except ConnectionClosed as error:
             raise PeerReplyLostError(str(error)) from error
@@ -93,10 +93,10 @@
                 try:
                     self._connection = await connect(
                         self._uri,
-                        open_timeout=CONNECT_PATIENCE_SECONDS,
-                        close_timeout=CONNECT_PATIENCE_SECONDS,
+                        open_timeout=CONNECT_TIMEOUT_SECONDS,
+                        close_timeout=CONNECT_TIMEOUT_SECONDS,
                         ping_interval=PING_INTERVAL_SECONDS,
-                        ping_timeout=PING_PATIENCE_SECONDS,
+                        ping_timeout=PING_TIMEOUT_SECONDS,
                         max_size=MAX_MESSAGE_BYTES,
                         compression=None,
                         proxy=None,
--- a/src/brasstray/peer/pipe.py
+++ b/src/brasstray/peer/pipe.py
@@ -23,18 +23,18 @@
 class Pipe:
     """Run one connection, sending all queued messages in one frame.
 
-    The connection is closed when nothing was received for `silence`, or when too many
-    messages are queued. `take` is called with each message received.
+    The connection is closed if nothing is received for `silence_timeout`, or once too
+    many messages are queued. `take` is called with each message received.
     """
 
     def __init__(
         self,
         stream: MessageStream,
-        silence: timedelta,
+        silence_timeout: timedelta,
         take: Callable[[PoolMessage], None],
     ) -> None:
         self._stream = stream
-        self._silence = silence
+        self._silence_timeout = silence_timeout
         self._take = take
         self._waiting: list[PoolMessage] = []
         self._wake = anyio.Event()
@@ -45,9 +45,9 @@
         """Return whether messages are still sent."""
         return self._open
 
-    def allow_silence(self, silence: timedelta) -> None:
+    def allow_silence(self, silence_timeout: timedelta) -> None:
         """Change the silence timeout, starting with the next message received."""
-        self._silence = silence
+        self._silence_timeout = silence_timeout
 
     def tell(self, message: PoolMessage) -> None:
         """Queue `message` and send the queue."""
@@ -79,7 +79,7 @@
     async def _read(self) -> str:
         while self._open:
             try:
-                with anyio.fail_after(self._silence.total_seconds()):
+                with anyio.fail_after(self._silence_timeout.total_seconds()):
                     messages = await self._stream.receive()
             except TimeoutError:
                 return "silent"
--- a/src/brasstray/peer/websocket_stream.py
+++ b/src/brasstray/peer/websocket_stream.py
@@ -23,7 +23,7 @@
 
 # A connection within a region opens in a few milliseconds. An attempt across a network
 # partition would hang; after this timeout, another host is tried.
-OPEN_PATIENCE_SECONDS = 0.4
+OPEN_TIMEOUT_SECONDS = 0.4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 
 
@@ -61,7 +61,7 @@
         try:
             connection = await connect(
                 f"ws://{address}:{port}",
-                open_timeout=OPEN_PATIENCE_SECONDS,
+                open_timeout=OPEN_TIMEOUT_SECONDS,
                 ping_interval=None,
                 max_size=MAX_FRAME_BYTES,
                 compression=None,
--- a/src/brasstray/store/http_platform.py
+++ b/src/brasstray/store/http_platform.py
@@ -25,10 +25,10 @@
 class HttpPlatform:
     """Call the platform; raise StoreUnavailableError on timeouts and server errors."""
 
-    def __init__(self, address: str, port: int, patience: timedelta) -> None:
+    def __init__(self, address: str, port: int, timeout: timedelta) -> None:
         self._host = address.encode("ascii")
         self._port = port
-        self._patience = patience
+        self._timeout = timeout
         self._hosts: list[ListedHost] = []
         self._tag: bytes | None = None
         self._pool = httpcore.AsyncConnectionPool(max_connections=8, retries=0)
@@ -89,7 +89,7 @@
         if method == "PUT":
             sent.append((b"content-length", str(len(content)).encode()))
         try:
-            with anyio.fail_after(self._patience.total_seconds()):
+            with anyio.fail_after(self._timeout.total_seconds()):
                 response = await self._pool.request(
                     method, url, headers=sent, content=content or None
                 )
--- a/tests/minion/test_http_minions.py
+++ b/tests/minion/test_http_minions.py
@@ -24,7 +24,7 @@
 
 TASK = TaskId(JobId(caller=CallerName("c"), key=KeyText("k")), 0)
 DONE = b'HTTP/1.1 200 OK\r\ncontent-length: 13\r\n\r\n{"result": 7}'
-SHORT, LONG = timedelta(seconds=0.2), timedelta(seconds=30)
+SHORT_TIMEOUT, LONG_TIMEOUT = timedelta(seconds=0.2), timedelta(seconds=30)
 
 
 def reply(status, headers=""):
@@ -68,14 +68,14 @@
 def starts_at(answers, count=1):
     async def whole():
         minion, minions, ended = RawMinion(answers), HttpMinions(), []
-        patience = SHORT if None in answers else LONG
+        timeout = SHORT_TIMEOUT if None in answers else LONG_TIMEOUT
         async with anyio.create_task_group() as group:
             group.start_soon(minion.run)
             for _ in range(count):
                 try:
                     task = TaskRequest(payload=1)
                     ended.append(
-                        await minions.start(minion.listed, TASK, task, patience)
+                        await minions.start(minion.listed, TASK, task, timeout)
                     )
                 except MinionError as error:
                     ended.append((type(error), error.reason))
@@ -125,7 +125,9 @@
         listener.close()
         listed = RawMinion([]).listed.model_copy(update={"port": port})
         with pytest.raises(TaskNotRunError) as caught:
-            await HttpMinions().start(listed, TASK, TaskRequest(payload=1), LONG)
+            await HttpMinions().start(
+                listed, TASK, TaskRequest(payload=1), LONG_TIMEOUT
+            )
         assert caught.value.reason is RetryReason.CONNECTION_REFUSED
 
     anyio.run(whole)
--- a/tests/peer/test_websockets.py
+++ b/tests/peer/test_websockets.py
@@ -17,7 +17,7 @@
 
 CALLER, SERVER = IncarnationId("dc.a.1"), IncarnationId("dc.b.1")
 REPLACED = IncarnationId("dc.b.0")
-PATIENCE, SHORT = timedelta(seconds=5), timedelta(seconds=0.05)
+LONG_TIMEOUT, SHORT_TIMEOUT = timedelta(seconds=5), timedelta(seconds=0.05)
 
 
 class Echo:
@@ -40,10 +40,10 @@
         async with anyio.create_task_group() as group:
             group.start_soon(WebSocketServer(SERVER, echo).run, listener)
             link = PeerLink(CALLER, uri, group)
-            for receiver, term, patience in calls:
+            for receiver, term, timeout in calls:
                 try:
                     message = FenceTerm(term=term)
-                    ended.append(await link.call(receiver, message, patience))
+                    ended.append(await link.call(receiver, message, timeout))
                 except (PeerNotReachedError, PeerReplyLostError) as error:
                     ended.append(type(error))
             group.cancel_scope.cancel()
@@ -53,20 +53,20 @@
 
 
 @pytest.mark.parametrize(
-    ("receiver", "term", "patience", "expected", "handled"),
+    ("receiver", "term", "timeout", "expected", "handled"),
     [
-        (SERVER, 2, PATIENCE, HoldReply(held=True), 1),
-        (None, 1, PATIENCE, HoldReply(held=False), 1),
-        (REPLACED, 1, PATIENCE, PeerNotReachedError, 0),
-        (SERVER, 0, SHORT, PeerReplyLostError, 1),
+        (SERVER, 2, LONG_TIMEOUT, HoldReply(held=True), 1),
+        (None, 1, LONG_TIMEOUT, HoldReply(held=False), 1),
+        (REPLACED, 1, LONG_TIMEOUT, PeerNotReachedError, 0),
+        (SERVER, 0, SHORT_TIMEOUT, PeerReplyLostError, 1),
     ],
 )
-def test_a_call_ends_as_it_should(receiver, term, patience, expected, handled):
-    assert call_all([(receiver, term, patience)]) == ([expected], handled)
+def test_a_call_ends_as_it_should(receiver, term, timeout, expected, handled):
+    assert call_all([(receiver, term, timeout)]) == ([expected], handled)
 
 
 def test_a_call_without_reply_does_not_hold_up_others():
-    ended, _ = call_all([(SERVER, 0, SHORT), (SERVER, 2, PATIENCE)])
+    ended, _ = call_all([(SERVER, 0, SHORT_TIMEOUT), (SERVER, 2, LONG_TIMEOUT)])
     assert ended == [PeerReplyLostError, HoldReply(held=True)]
 
 
@@ -77,7 +77,7 @@
         async with anyio.create_task_group() as group:
             link = PeerLink(CALLER, f"ws://127.0.0.1:{port}", group)
             with pytest.raises(PeerNotReachedError):
-                await link.call(None, Done(), PATIENCE)
+                await link.call(None, Done(), LONG_TIMEOUT)
 
     anyio.run(whole)
 
