--- a/src/brasstray/clock/loop.py
+++ b/src/brasstray/clock/loop.py
@@ -16,28 +16,28 @@
 class LoopClock:
     """Read the event loop's clock, which is virtual if the loop is simulated."""
 
-    def __init__(self, started: datetime | None = None) -> None:
-        self._started = started
-        self._time: Callable[[], float] | None = None
+    def __init__(self, origin: datetime | None = None) -> None:
+        self._origin = origin
+        self._read_time: Callable[[], float] | None = None
 
     def now(self) -> datetime:
-        """Return the wall time in UTC, or `started`, if given, plus the loop's time."""
-        if self._started is None:
+        """Return the wall time in UTC, or `origin`, if given, plus the loop's time."""
+        if self._origin is None:
             return datetime.now(UTC)
-        return self._started + self.monotonic()
+        return self._origin + self.monotonic()
 
     def monotonic(self) -> timedelta:
         """Return the loop's time."""
-        if self._time is None:
-            self._time = _time_of_loop()
-        return timedelta(seconds=self._time())
+        if self._read_time is None:
+            self._read_time = _loop_time_source()
+        return timedelta(seconds=self._read_time())
 
     async def sleep(self, duration: timedelta) -> None:
         """Wait for `duration` of the loop's time."""
         await anyio.sleep(duration.total_seconds())
 
 
-def _time_of_loop() -> Callable[[], float]:
+def _loop_time_source() -> Callable[[], float]:
     # anyio.current_time detects the running library in every call, which takes ten
     # times as long as reading the clock.
     in_asyncio = sniffio.current_async_library() == "asyncio"
--- a/src/brasstray/minion/http.py
+++ b/src/brasstray/minion/http.py
@@ -29,7 +29,7 @@
     """Start tasks over connections that are kept open; each carries one at a time."""
 
     def __init__(self) -> None:
-        self._places: dict[tuple[str, int], Connections] = {}
+        self._connections: dict[tuple[str, int], Connections] = {}
 
     async def start(
         self,
@@ -39,14 +39,14 @@
         patience: timedelta,
     ) -> JsonValue:
         """Start `task` once on `minion` and return its result."""
-        place = (minion.address, minion.port)
-        connections = self._places.get(place)
+        endpoint = (minion.address, minion.port)
+        connections = self._connections.get(endpoint)
         if connections is None:
-            connections = self._places[place] = Connections(*place)
+            connections = self._connections[endpoint] = Connections(*endpoint)
         body = json.dumps({"task": task_id.text(), "payload": task.payload}).encode()
         try:
             response = await connections.call("POST", "/tasks", body, patience)
-            return _result_of(response)
+            return _parse_result(response)
         except NotConnectedError as error:
             raise TaskNotRunError(RetryReason.CONNECTION_REFUSED) from error
         except HttpCallError as error:
@@ -58,12 +58,12 @@
 
     async def aclose(self) -> None:
         """Close every idle connection."""
-        for connections in self._places.values():
+        for connections in self._connections.values():
             await connections.aclose()
-        self._places.clear()
+        self._connections.clear()
 
 
-def _result_of(response: HttpReply) -> JsonValue:
+def _parse_result(response: HttpReply) -> JsonValue:
     if response.status == _OK:
         try:
             result: JsonValue = json.loads(response.content)["result"]
