--- a/src/brasstray/peer/link.py
+++ b/src/brasstray/peer/link.py
@@ -26,9 +26,9 @@
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 
 
-class _Call:
+class _PendingCall:
     def __init__(self) -> None:
-        self.ended = anyio.Event()
+        self.completed = anyio.Event()
         self.reply: Envelope | None = None
 
 
@@ -43,10 +43,10 @@
         self._sender = sender
         self._uri = uri
         self._group = group
-        self._numbers = count()
+        self._call_numbers = count()
         self._connection: ClientConnection | None = None
-        self._connecting = anyio.Lock()
-        self._calls: dict[int, _Call] = {}
+        self._connect_lock = anyio.Lock()
+        self._pending_calls: dict[int, _PendingCall] = {}
 
     @property
     def uri(self) -> str:
@@ -61,7 +61,7 @@
         Raise PeerNotReachedError or PeerReplyLostError, as defined by `Peers.call`.
         """
         connection = await self._connect()
-        number, call = next(self._numbers), _Call()
+        number, call = next(self._call_numbers), _PendingCall()
         envelope = Envelope(
             kind=EnvelopeKind.CALL,
             number=number,
@@ -69,15 +69,15 @@
             receiver=receiver,
             message=message,
         )
-        self._calls[number] = call
+        self._pending_calls[number] = call
         try:
             await connection.send(envelope.encode())
             with anyio.move_on_after(timeout.total_seconds()):
-                await call.ended.wait()
+                await call.completed.wait()
         except ConnectionClosed as error:
             raise PeerReplyLostError(str(error)) from error
         finally:
-            del self._calls[number]
+            del self._pending_calls[number]
         if call.reply is None:
             raise PeerReplyLostError(f"no reply from {self._uri}")
         if call.reply.kind is EnvelopeKind.REFUSED_UNREAD:
@@ -88,7 +88,7 @@
         return call.reply.message
 
     async def _connect(self) -> ClientConnection:
-        async with self._connecting:
+        async with self._connect_lock:
             if self._connection is None:
                 try:
                     self._connection = await connect(
@@ -103,23 +103,23 @@
                     )
                 except (OSError, TimeoutError, InvalidHandshake) as error:
                     raise PeerNotReachedError(str(error)) from error
-                self._group.start_soon(self._read, self._connection)
+                self._group.start_soon(self._read_replies, self._connection)
             return self._connection
 
-    async def _read(self, connection: ClientConnection) -> None:
+    async def _read_replies(self, connection: ClientConnection) -> None:
         try:
             async for data in connection:
                 envelope = Envelope.decode(data)  # type: ignore[arg-type]
-                call = self._calls.get(envelope.number)
+                call = self._pending_calls.get(envelope.number)
                 if call is not None:
                     call.reply = envelope
-                    call.ended.set()
+                    call.completed.set()
         except (ConnectionClosed, ValueError):
             pass
         finally:
             self._connection = None
-            for call in self._calls.values():
-                call.ended.set()
+            for call in self._pending_calls.values():
+                call.completed.set()
             with anyio.CancelScope(shield=True):
                 await connection.close()
 
--- a/src/brasstray/peer/pipe.py
+++ b/src/brasstray/peer/pipe.py
@@ -17,27 +17,27 @@
 
 # Far more than a host sends within the silence timeout. A peer that reads too slowly
 # is disconnected, so that its queue doesn't exhaust the memory.
-MOST_WAITING = 20_000
+MAX_QUEUED_MESSAGES = 20_000
 
 
 class Pipe:
     """Run one connection, sending all queued messages in one frame.
 
     The connection is closed if nothing is received for `silence_timeout`, or once too
-    many messages are queued. `take` is called with each message received.
+    many messages are queued. `on_message` is called with each message received.
     """
 
     def __init__(
         self,
         stream: MessageStream,
         silence_timeout: timedelta,
-        take: Callable[[PoolMessage], None],
+        on_message: Callable[[PoolMessage], None],
     ) -> None:
         self._stream = stream
         self._silence_timeout = silence_timeout
-        self._take = take
-        self._waiting: list[PoolMessage] = []
-        self._wake = anyio.Event()
+        self._on_message = on_message
+        self._queue: list[PoolMessage] = []
+        self._flush_requested = anyio.Event()
         self._open = True
 
     @property
@@ -52,22 +52,22 @@
     def tell(self, message: PoolMessage) -> None:
         """Queue `message` and send the queue."""
         self.tell_later(message)
-        self._wake.set()
+        self._flush_requested.set()
 
     def tell_later(self, message: PoolMessage) -> None:
         """Queue `message`, to be sent together with the next call of `tell`."""
         if not self._open:
             return
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self._open = False
-        self._waiting.append(message)
+        self._queue.append(message)
 
     async def run(self) -> str:
         """Send and receive until the connection ends; return the reason."""
         reason = "closed"
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._write)
+                group.start_soon(self._send_queued)
                 reason = await self._read()
                 group.cancel_scope.cancel()
         finally:
@@ -86,15 +86,15 @@
             except StreamClosedError as error:
                 return f"closed: {error}"
             for message in messages:
-                self._take(message)
+                self._on_message(message)
         return "too slow"
 
-    async def _write(self) -> None:
+    async def _send_queued(self) -> None:
         try:
             while True:
-                await self._wake.wait()
-                self._wake = anyio.Event()
-                messages, self._waiting = self._waiting, []
+                await self._flush_requested.wait()
+                self._flush_requested = anyio.Event()
+                messages, self._queue = self._queue, []
                 await self._stream.send(messages)
         except StreamClosedError:
             # _read gets the same error and returns the reason.
--- a/src/brasstray/peer/pool_messages.py
+++ b/src/brasstray/peer/pool_messages.py
@@ -32,7 +32,7 @@
     | TasksReturned
 )
 # Types that cbor2 encodes natively, so that msgspec need not convert them.
-_CARRIED = (bytes,)
+_NATIVE_TYPES = (bytes,)
 
 
 class _Frame(msgspec.Struct, frozen=True, array_like=True):
@@ -43,7 +43,7 @@
 
 def encode_frame(messages: list[PoolMessage]) -> bytes:
     """Encode `messages` as one CBOR frame, omitting fields with default values."""
-    return cbor2.dumps([msgspec.to_builtins(messages, builtin_types=_CARRIED)])
+    return cbor2.dumps([msgspec.to_builtins(messages, builtin_types=_NATIVE_TYPES)])
 
 
 def decode_frame(data: bytes) -> list[PoolMessage]:
--- a/src/brasstray/peer/websocket_peers.py
+++ b/src/brasstray/peer/websocket_peers.py
@@ -25,12 +25,12 @@
     def __init__(
         self,
         sender: IncarnationId,
-        listing: Callable[[HostName], ListedHost | None],
+        find_host: Callable[[HostName], ListedHost | None],
         group: TaskGroup,
         metrics: Metrics,
     ) -> None:
         self._sender = sender
-        self._listing = listing
+        self._find_host = find_host
         self._group = group
         self._metrics = metrics
         self._links: dict[HostName, PeerLink] = {}
@@ -47,7 +47,7 @@
         return await self._link(host).call(receiver, message, patience)
 
     def _link(self, host: HostName) -> PeerLink:
-        listed = self._listing(host)
+        listed = self._find_host(host)
         if listed is None:
             raise PeerNotReachedError(f"host {host} is not in the platform's host list")
         uri = f"ws://{listed.address}:{listed.port}"
--- a/src/brasstray/peer/websocket_server.py
+++ b/src/brasstray/peer/websocket_server.py
@@ -28,21 +28,24 @@
     async def run(self, listener: socket.socket) -> None:
         """Serve on `listener` until cancelled."""
         async with serve(
-            self._serve, sock=listener, max_size=MAX_MESSAGE_BYTES, compression=None
+            self._handle_connection,
+            sock=listener,
+            max_size=MAX_MESSAGE_BYTES,
+            compression=None,
         ):
             await anyio.sleep_forever()
 
-    async def _serve(self, connection: ServerConnection) -> None:
+    async def _handle_connection(self, connection: ServerConnection) -> None:
         try:
             async with anyio.create_task_group() as group:
                 async for data in connection:
                     envelope = Envelope.decode(data)  # type: ignore[arg-type]
-                    group.start_soon(self._answer, connection, envelope)
+                    group.start_soon(self._handle_call, connection, envelope)
                 group.cancel_scope.cancel()
         except* (ConnectionClosed, ValueError):
             pass
 
-    async def _answer(self, connection: ServerConnection, call: Envelope) -> None:
+    async def _handle_call(self, connection: ServerConnection, call: Envelope) -> None:
         # A message for an earlier incarnation of this host must not be handled: the
         # jobs and journal copies of that incarnation are gone. The sender learns that
         # its message had no effect.
--- a/src/brasstray/peer/websocket_stream.py
+++ b/src/brasstray/peer/websocket_stream.py
@@ -81,15 +81,15 @@
 
 
 async def serve_streams(
-    listener: socket.socket, take: Callable[[WebSocketStream], Awaitable[None]]
+    listener: socket.socket, handle_stream: Callable[[WebSocketStream], Awaitable[None]]
 ) -> None:
-    """Call `take` with each incoming connection, until cancelled."""
+    """Call `handle_stream` with each incoming connection, until cancelled."""
 
-    async def take_connection(connection: ServerConnection) -> None:
-        await take(WebSocketStream(connection))
+    async def handle_connection(connection: ServerConnection) -> None:
+        await handle_stream(WebSocketStream(connection))
 
     async with serve(
-        take_connection,
+        handle_connection,
         sock=listener,
         ping_interval=None,
         max_size=MAX_FRAME_BYTES,
