--- a/tests/minion/test_http_minions.py
+++ b/tests/minion/test_http_minions.py
@@ -65,26 +65,26 @@
                 await stream.send(answer)
 
 
-def starts_at(answers, count=1):
-    async def whole():
-        minion, minions, ended = RawMinion(answers), HttpMinions(), []
+def start_tasks(answers, count=1):
+    async def scenario():
+        minion, minions, outcomes = RawMinion(answers), HttpMinions(), []
         timeout = SHORT_TIMEOUT if None in answers else LONG_TIMEOUT
         async with anyio.create_task_group() as group:
             group.start_soon(minion.run)
             for _ in range(count):
                 try:
                     task = TaskRequest(payload=1)
-                    ended.append(
+                    outcomes.append(
                         await minions.start(minion.listed, TASK, task, timeout)
                     )
                 except MinionError as error:
-                    ended.append((type(error), error.reason))
+                    outcomes.append((type(error), error.reason))
             group.cancel_scope.cancel()
         with anyio.CancelScope(shield=True):
             await minions.aclose()
-        return ended, minion.requests
+        return outcomes, minion.requests
 
-    return anyio.run(whole)
+    return anyio.run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -102,24 +102,24 @@
     ],
 )
 def test_only_a_refusal_counts_as_not_run(answer, expected):
-    ended, requests = starts_at([answer])
-    assert ended == [expected]
+    outcomes, requests = start_tasks([answer])
+    assert outcomes == [expected]
     assert requests == 1
 
 
-def test_a_reset_after_the_request_was_written_is_not_retried_behind_our_back():
+def test_a_request_is_not_resent_after_a_reset():
     """An HTTP client must not resend a request after a reset on a reused connection.
 
     The minion may have run the task before its reply was lost. A leave deduction sent
     again on a new connection would be made twice.
     """
-    ended, requests = starts_at([DONE, b"", DONE], count=2)
-    assert ended == [7, (TaskMayHaveRunError, RetryReason.CONNECTION_LOST)]
+    outcomes, requests = start_tasks([DONE, b"", DONE], count=2)
+    assert outcomes == [7, (TaskMayHaveRunError, RetryReason.CONNECTION_LOST)]
     assert requests == 2
 
 
 def test_a_refused_connection_is_not_run():
-    async def whole():
+    async def scenario():
         listener = listen("127.0.0.1", 0)
         port = listener.getsockname()[1]
         listener.close()
@@ -130,10 +130,10 @@
             )
         assert caught.value.reason is RetryReason.CONNECTION_REFUSED
 
-    anyio.run(whole)
+    anyio.run(scenario)
 
 
-def test_connections_are_used_again():
-    ended, requests = starts_at([DONE] * 5, count=5)
-    assert ended == [7] * 5
+def test_connections_are_reused():
+    outcomes, requests = start_tasks([DONE] * 5, count=5)
+    assert outcomes == [7] * 5
     assert requests == 5
--- a/tests/peer/test_host_messages.py
+++ b/tests/peer/test_host_messages.py
@@ -28,7 +28,7 @@
     [(STATE, "places", 3), (RETURNED, "in_doubt", True)],
     ids=["pool state", "tasks returned"],
 )
-def test_hosts_of_two_versions_read_the_same_fields(message, name, value):
+def test_renamed_attributes_keep_their_field_names(message, name, value):
     """A renamed attribute must keep its field name in the encoded message.
 
     Otherwise a host of an older version would miss `in_doubt` and take a task that may
@@ -36,5 +36,5 @@
     """
     frame = encode_frame([message])
     assert decode_frame(frame) == [message]
-    [[carried]] = cbor2.loads(frame)
-    assert carried[name] == value
+    [[encoded]] = cbor2.loads(frame)
+    assert encoded[name] == value
--- a/tests/peer/test_websockets.py
+++ b/tests/peer/test_websockets.py
@@ -16,7 +16,7 @@
 from brasstray.peer.websocket_server import WebSocketServer
 
 CALLER, SERVER = IncarnationId("dc.a.1"), IncarnationId("dc.b.1")
-REPLACED = IncarnationId("dc.b.0")
+PREVIOUS_SERVER = IncarnationId("dc.b.0")
 LONG_TIMEOUT, SHORT_TIMEOUT = timedelta(seconds=5), timedelta(seconds=0.05)
 
 
@@ -34,8 +34,8 @@
 
 
 def call_all(calls):
-    async def whole():
-        listener, echo, ended = listen("127.0.0.1", 0), Echo(), []
+    async def scenario():
+        listener, echo, outcomes = listen("127.0.0.1", 0), Echo(), []
         uri = f"ws://127.0.0.1:{listener.getsockname()[1]}"
         async with anyio.create_task_group() as group:
             group.start_soon(WebSocketServer(SERVER, echo).run, listener)
@@ -43,13 +43,13 @@
             for receiver, term, timeout in calls:
                 try:
                     message = FenceTerm(term=term)
-                    ended.append(await link.call(receiver, message, timeout))
+                    outcomes.append(await link.call(receiver, message, timeout))
                 except (PeerNotReachedError, PeerReplyLostError) as error:
-                    ended.append(type(error))
+                    outcomes.append(type(error))
             group.cancel_scope.cancel()
-        return ended, echo.handled
+        return outcomes, echo.handled
 
-    return anyio.run(whole)
+    return anyio.run(scenario)
 
 
 @pytest.mark.parametrize(
@@ -57,21 +57,21 @@
     [
         (SERVER, 2, LONG_TIMEOUT, HoldReply(held=True), 1),
         (None, 1, LONG_TIMEOUT, HoldReply(held=False), 1),
-        (REPLACED, 1, LONG_TIMEOUT, PeerNotReachedError, 0),
+        (PREVIOUS_SERVER, 1, LONG_TIMEOUT, PeerNotReachedError, 0),
         (SERVER, 0, SHORT_TIMEOUT, PeerReplyLostError, 1),
     ],
 )
-def test_a_call_ends_as_it_should(receiver, term, timeout, expected, handled):
+def test_outcome_of_a_call(receiver, term, timeout, expected, handled):
     assert call_all([(receiver, term, timeout)]) == ([expected], handled)
 
 
-def test_a_call_without_reply_does_not_hold_up_others():
-    ended, _ = call_all([(SERVER, 0, SHORT_TIMEOUT), (SERVER, 2, LONG_TIMEOUT)])
-    assert ended == [PeerReplyLostError, HoldReply(held=True)]
+def test_a_call_without_reply_does_not_block_others():
+    outcomes, _ = call_all([(SERVER, 0, SHORT_TIMEOUT), (SERVER, 2, LONG_TIMEOUT)])
+    assert outcomes == [PeerReplyLostError, HoldReply(held=True)]
 
 
-def test_a_host_that_does_not_listen_is_not_reached():
-    async def whole():
+def test_a_call_to_a_host_that_does_not_listen_fails():
+    async def scenario():
         with listen("127.0.0.1", 0) as listener:
             port = listener.getsockname()[1]
         async with anyio.create_task_group() as group:
@@ -79,16 +79,16 @@
             with pytest.raises(PeerNotReachedError):
                 await link.call(None, Done(), LONG_TIMEOUT)
 
-    anyio.run(whole)
+    anyio.run(scenario)
 
 
 @pytest.mark.parametrize("data", [b"", b"\xff\xff", b"\x01", b"\xa1\x61a\x01"])
-def test_bytes_that_are_no_envelope_are_refused(data):
+def test_malformed_envelopes_are_rejected(data):
     with pytest.raises(ValueError):  # noqa: PT011 -- any subclass of it
         Envelope.decode(data)
 
 
-def test_an_envelope_survives_the_wire():
+def test_envelope_round_trip():
     envelope = Envelope(
         kind=EnvelopeKind.CALL, number=7, sender=CALLER, message=FenceTerm(term=3)
     )
