--- a/src/brasstray/minion/errors.py
+++ b/src/brasstray/minion/errors.py
@@ -17,7 +17,7 @@
 
 
 class MinionError(Exception):
-    """Base class of the errors in this package."""
+    """Base class of the errors in this module."""
 
     def __init__(self, reason: RetryReason) -> None:
         super().__init__(reason.value)
--- a/src/brasstray/peer/errors.py
+++ b/src/brasstray/peer/errors.py
@@ -4,7 +4,7 @@
 
 
 class PeerError(Exception):
-    """Base class of the errors in this package."""
+    """Base class of the errors in this module."""
 
 
 class PeerNotReachedError(PeerError):
--- a/src/brasstray/peer/message_stream.py
+++ b/src/brasstray/peer/message_stream.py
@@ -20,7 +20,7 @@
     """Send and receive messages in order; every method may raise StreamClosedError."""
 
     async def send(self, messages: list[PoolMessage]) -> None:
-        """Send `messages`; block while the receiver applies back-pressure."""
+        """Send `messages`; wait while the receiver applies back-pressure."""
 
     async def receive(self) -> list[PoolMessage]:
         """Wait for the next messages and return them."""
