--- a/src/brasstray/minion/http.py
+++ b/src/brasstray/minion/http.py
@@ -26,10 +26,10 @@
 
 
 class HttpMinions:
-    """Hold idle connections per minion; each carries one task at a time."""
+    """Start tasks over connections that are kept open; each carries one at a time."""
 
     def __init__(self) -> None:
-        self._places: dict[tuple[str, int], Connections] = {}
+        self._connections: dict[tuple[str, int], Connections] = {}
 
     async def start(
         self,
@@ -38,32 +38,32 @@
         task: TaskRequest,
         patience: timedelta,
     ) -> JsonValue:
-        """Return the result of `task`, started once on `minion`."""
-        place = (minion.address, minion.port)
-        connections = self._places.get(place)
+        """Start `task` once on `minion` and return its result."""
+        endpoint = (minion.address, minion.port)
+        connections = self._connections.get(endpoint)
         if connections is None:
-            connections = self._places[place] = Connections(*place)
+            connections = self._connections[endpoint] = Connections(*endpoint)
         body = json.dumps({"task": task_id.text(), "payload": task.payload}).encode()
         try:
             response = await connections.call("POST", "/tasks", body, patience)
-            return _result_of(response)
+            return _parse_result(response)
         except NotConnectedError as error:
             raise TaskNotRunError(RetryReason.CONNECTION_REFUSED) from error
         except HttpCallError as error:
-            # Guards against a reset after bytes were written: the minion may have
-            # started the task, so it is not sent again behind the caller's back.
+            # If the connection was reset after bytes were written, the minion may have
+            # started the task, so the request must not be resent here.
             raise TaskMayHaveRunError(RetryReason.CONNECTION_LOST) from error
         except TimeoutError as error:
             raise TaskMayHaveRunError(RetryReason.SILENT) from error
 
     async def aclose(self) -> None:
         """Close every idle connection."""
-        for connections in self._places.values():
+        for connections in self._connections.values():
             await connections.aclose()
-        self._places.clear()
+        self._connections.clear()
 
 
-def _result_of(response: HttpReply) -> JsonValue:
+def _parse_result(response: HttpReply) -> JsonValue:
     if response.status == _OK:
         try:
             result: JsonValue = json.loads(response.content)["result"]
--- a/src/brasstray/peer/link.py
+++ b/src/brasstray/peer/link.py
@@ -1,4 +1,4 @@
-"""Hold the connection to one peer and match replies with calls."""
+"""Manage the connection to one peer and match replies with calls."""
 
 from __future__ import annotations
 
@@ -20,45 +20,48 @@
     from brasstray.job.ids import IncarnationId
     from brasstray.peer.messages import Message
 
-CONNECT_PATIENCE_SECONDS = 1.0
+CONNECT_TIMEOUT_SECONDS = 1.0
 PING_INTERVAL_SECONDS = 2.0
-PING_PATIENCE_SECONDS = 2.0
+PING_TIMEOUT_SECONDS = 2.0
 MAX_MESSAGE_BYTES = 64 * 1024 * 1024
 
 
-class _Call:
+class _PendingCall:
     def __init__(self) -> None:
-        self.ended = anyio.Event()
+        self.completed = anyio.Event()
         self.reply: Envelope | None = None
 
 
 class PeerLink:
-    """Call one peer over one connection, which is opened anew when lost.
+    """Call one peer over a single connection, and reconnect after it is lost.
 
-    Pings find a connection that has gone silent: it is closed within four seconds,
-    its calls end as replies lost, and the next call opens another.
+    Pings detect an unresponsive connection, which is closed within four seconds. Its
+    pending calls raise PeerReplyLostError, and the next call opens a new connection.
     """
 
     def __init__(self, sender: IncarnationId, uri: str, group: TaskGroup) -> None:
         self._sender = sender
         self._uri = uri
         self._group = group
-        self._numbers = count()
+        self._call_numbers = count()
         self._connection: ClientConnection | None = None
-        self._connecting = anyio.Lock()
-        self._calls: dict[int, _Call] = {}
+        self._connect_lock = anyio.Lock()
+        self._pending_calls: dict[int, _PendingCall] = {}
 
     @property
     def uri(self) -> str:
-        """Return where the peer listens."""
+        """Return the websocket URI of the peer."""
         return self._uri
 
     async def call(
-        self, receiver: IncarnationId | None, message: Message, patience: timedelta
+        self, receiver: IncarnationId | None, message: Message, timeout: timedelta
     ) -> Message:
-        """Return the reply; raise PeerNotReachedError or PeerReplyLostError."""
+        """Send `message` and return the reply.
+
+        Raise PeerNotReachedError or PeerReplyLostError, as defined by `Peers.call`.
+        """
         connection = await self._connect()
-        number, call = next(self._numbers), _Call()
+        number, call = next(self._call_numbers), _PendingCall()
         envelope = Envelope(
             kind=EnvelopeKind.CALL,
             number=number,
@@ -66,55 +69,57 @@
             receiver=receiver,
             message=message,
         )
-        self._calls[number] = call
+        self._pending_calls[number] = call
         try:
             await connection.send(envelope.encode())
-            with anyio.move_on_after(patience.total_seconds()):
-                await call.ended.wait()
+            with anyio.move_on_after(timeout.total_seconds()):
+                await call.completed.wait()
         except ConnectionClosed as error:
             raise PeerReplyLostError(str(error)) from error
         finally:
-            del self._calls[number]
+            del self._pending_calls[number]
         if call.reply is None:
-            raise PeerReplyLostError(f"{self._uri} gave no reply")
+            raise PeerReplyLostError(f"no reply from {self._uri}")
         if call.reply.kind is EnvelopeKind.REFUSED_UNREAD:
-            raise PeerNotReachedError(f"{receiver} does not run at {self._uri}")
+            raise PeerNotReachedError(
+                f"incarnation {receiver} is not running at {self._uri}"
+            )
         assert call.reply.message is not None
         return call.reply.message
 
     async def _connect(self) -> ClientConnection:
-        async with self._connecting:
+        async with self._connect_lock:
             if self._connection is None:
                 try:
                     self._connection = await connect(
                         self._uri,
-                        open_timeout=CONNECT_PATIENCE_SECONDS,
-                        close_timeout=CONNECT_PATIENCE_SECONDS,
+                        open_timeout=CONNECT_TIMEOUT_SECONDS,
+                        close_timeout=CONNECT_TIMEOUT_SECONDS,
                         ping_interval=PING_INTERVAL_SECONDS,
-                        ping_timeout=PING_PATIENCE_SECONDS,
+                        ping_timeout=PING_TIMEOUT_SECONDS,
                         max_size=MAX_MESSAGE_BYTES,
                         compression=None,
                         proxy=None,
                     )
                 except (OSError, TimeoutError, InvalidHandshake) as error:
                     raise PeerNotReachedError(str(error)) from error
-                self._group.start_soon(self._read, self._connection)
+                self._group.start_soon(self._read_replies, self._connection)
             return self._connection
 
-    async def _read(self, connection: ClientConnection) -> None:
+    async def _read_replies(self, connection: ClientConnection) -> None:
         try:
             async for data in connection:
                 envelope = Envelope.decode(data)  # type: ignore[arg-type]
-                call = self._calls.get(envelope.number)
+                call = self._pending_calls.get(envelope.number)
                 if call is not None:
                     call.reply = envelope
-                    call.ended.set()
+                    call.completed.set()
         except (ConnectionClosed, ValueError):
             pass
         finally:
             self._connection = None
-            for call in self._calls.values():
-                call.ended.set()
+            for call in self._pending_calls.values():
+                call.completed.set()
             with anyio.CancelScope(shield=True):
                 await connection.close()
 
--- a/src/brasstray/peer/pipe.py
+++ b/src/brasstray/peer/pipe.py
@@ -1,4 +1,4 @@
-"""Send messages over a connection without waiting, and hear them with a time limit."""
+"""Send queued messages over a connection and detect a silent peer."""
 
 from __future__ import annotations
 
@@ -15,58 +15,59 @@
     from brasstray.peer.message_stream import MessageStream
     from brasstray.peer.pool_messages import PoolMessage
 
-# Far more than a host sends in the time after which a peer counts as silent; a peer
-# that reads so slowly is cut off instead of filling the memory.
-MOST_WAITING = 20_000
+# Far more than a host sends within the silence timeout. A peer that reads too slowly
+# is disconnected, so that its queue doesn't exhaust the memory.
+MAX_QUEUED_MESSAGES = 20_000
 
 
 class Pipe:
-    """Run one connection: what waits goes out in one frame.
+    """Run one connection, sending all queued messages in one frame.
 
-    It ends when the connection does, or when nothing was heard for `silence`.
+    The connection is closed if nothing is received for `silence_timeout`, or once too
+    many messages are queued. `on_message` is called with each message received.
     """
 
     def __init__(
         self,
         stream: MessageStream,
-        silence: timedelta,
-        take: Callable[[PoolMessage], None],
+        silence_timeout: timedelta,
+        on_message: Callable[[PoolMessage], None],
     ) -> None:
         self._stream = stream
-        self._silence = silence
-        self._take = take
-        self._waiting: list[PoolMessage] = []
-        self._wake = anyio.Event()
+        self._silence_timeout = silence_timeout
+        self._on_message = on_message
+        self._queue: list[PoolMessage] = []
+        self._flush_requested = anyio.Event()
         self._open = True
 
     @property
     def open(self) -> bool:
-        """Tell whether messages still go out."""
+        """Return whether messages are still sent."""
         return self._open
 
-    def allow_silence(self, silence: timedelta) -> None:
-        """End after this much silence from the next message on."""
-        self._silence = silence
+    def allow_silence(self, silence_timeout: timedelta) -> None:
+        """Change the silence timeout, starting with the next message received."""
+        self._silence_timeout = silence_timeout
 
     def tell(self, message: PoolMessage) -> None:
-        """Queue `message`, and have all that waits sent."""
+        """Queue `message` and send the queue."""
         self.tell_later(message)
-        self._wake.set()
+        self._flush_requested.set()
 
     def tell_later(self, message: PoolMessage) -> None:
-        """Queue `message`, to go out with the next one that does not wait."""
+        """Queue `message`, to be sent together with the next call of `tell`."""
         if not self._open:
             return
-        if len(self._waiting) >= MOST_WAITING:
+        if len(self._queue) >= MAX_QUEUED_MESSAGES:
             self._open = False
-        self._waiting.append(message)
+        self._queue.append(message)
 
     async def run(self) -> str:
-        """Carry messages until the connection ends; return why it did."""
+        """Send and receive until the connection ends; return the reason."""
         reason = "closed"
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._write)
+                group.start_soon(self._send_queued)
                 reason = await self._read()
                 group.cancel_scope.cancel()
         finally:
@@ -78,25 +79,25 @@
     async def _read(self) -> str:
         while self._open:
             try:
-                with anyio.fail_after(self._silence.total_seconds()):
+                with anyio.fail_after(self._silence_timeout.total_seconds()):
                     messages = await self._stream.receive()
             except TimeoutError:
                 return "silent"
             except StreamClosedError as error:
                 return f"closed: {error}"
             for message in messages:
-                self._take(message)
+                self._on_message(message)
         return "too slow"
 
-    async def _write(self) -> None:
+    async def _send_queued(self) -> None:
         try:
             while True:
-                await self._wake.wait()
-                self._wake = anyio.Event()
-                messages, self._waiting = self._waiting, []
+                await self._flush_requested.wait()
+                self._flush_requested = anyio.Event()
+                messages, self._queue = self._queue, []
                 await self._stream.send(messages)
         except StreamClosedError:
-            # The reader meets the same end and reports it.
+            # _read gets the same error and returns the reason.
             return
 
 
--- a/src/brasstray/peer/websocket_server.py
+++ b/src/brasstray/peer/websocket_server.py
@@ -1,4 +1,4 @@
-"""Answer the calls of other entry hosts over websockets."""
+"""Serve calls from other entry hosts over websockets."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 class WebSocketServer:
-    """Run one task per connection, and one per call on it."""
+    """Run one asynchronous task per connection, and one per call on it."""
 
     def __init__(self, incarnation: IncarnationId, handler: Handler) -> None:
         self._incarnation = incarnation
@@ -28,23 +28,27 @@
     async def run(self, listener: socket.socket) -> None:
         """Serve on `listener` until cancelled."""
         async with serve(
-            self._serve, sock=listener, max_size=MAX_MESSAGE_BYTES, compression=None
+            self._handle_connection,
+            sock=listener,
+            max_size=MAX_MESSAGE_BYTES,
+            compression=None,
         ):
             await anyio.sleep_forever()
 
-    async def _serve(self, connection: ServerConnection) -> None:
+    async def _handle_connection(self, connection: ServerConnection) -> None:
         try:
             async with anyio.create_task_group() as group:
                 async for data in connection:
                     envelope = Envelope.decode(data)  # type: ignore[arg-type]
-                    group.start_soon(self._answer, connection, envelope)
+                    group.start_soon(self._handle_call, connection, envelope)
                 group.cancel_scope.cancel()
         except* (ConnectionClosed, ValueError):
             pass
 
-    async def _answer(self, connection: ServerConnection, call: Envelope) -> None:
-        # Guards against a message for an earlier incarnation of this host, whose
-        # jobs and copies are gone: it must learn that nobody has read it.
+    async def _handle_call(self, connection: ServerConnection, call: Envelope) -> None:
+        # A message for an earlier incarnation of this host must not be handled: the
+        # jobs and journal copies of that incarnation are gone. The sender learns that
+        # its message had no effect.
         if call.receiver not in (None, self._incarnation) or call.message is None:
             kind, reply = EnvelopeKind.REFUSED_UNREAD, None
         else:
--- a/src/brasstray/peer/websocket_stream.py
+++ b/src/brasstray/peer/websocket_stream.py
@@ -1,4 +1,4 @@
-"""Carry messages between two hosts over a websocket."""
+"""Implement message streams over websockets."""
 
 from __future__ import annotations
 
@@ -21,14 +21,14 @@
 
     from brasstray.peer.pool_messages import PoolMessage
 
-# A connection within a region opens in a few milliseconds; one into a partition would
-# hang, and another is tried instead.
-OPEN_PATIENCE_SECONDS = 0.4
+# A connection within a region opens in a few milliseconds. An attempt across a network
+# partition would hang; after this timeout, another host is tried.
+OPEN_TIMEOUT_SECONDS = 0.4
 MAX_FRAME_BYTES = 8 * 1024 * 1024
 
 
 class WebSocketStream:
-    """Send frames of messages; whoever uses it finds silence by its own heartbeats."""
+    """Send messages in frames; users detect a silent peer by their own heartbeats."""
 
     def __init__(self, connection: Connection) -> None:
         self._connection = connection
@@ -41,7 +41,7 @@
             raise StreamClosedError(str(error)) from error
 
     async def receive(self) -> list[PoolMessage]:
-        """Return the messages of the next frame."""
+        """Wait for the next frame and return its messages."""
         try:
             data = await self._connection.recv(decode=False)
             return decode_frame(data)
@@ -49,19 +49,19 @@
             raise StreamClosedError(str(error)) from error
 
     async def aclose(self) -> None:
-        """Abort the connection: a farewell to a silent peer would only take time."""
+        """Abort the connection: a closing handshake with a silent peer takes time."""
         self._connection.transport.abort()
 
 
 class WebSocketOpener:
-    """Open websockets."""
+    """Open websocket connections to other hosts."""
 
     async def open(self, address: str, port: int) -> WebSocketStream:
-        """Return a connection to the host that listens at `address` and `port`."""
+        """Connect to the host that listens at `address` and `port`."""
         try:
             connection = await connect(
                 f"ws://{address}:{port}",
-                open_timeout=OPEN_PATIENCE_SECONDS,
+                open_timeout=OPEN_TIMEOUT_SECONDS,
                 ping_interval=None,
                 max_size=MAX_FRAME_BYTES,
                 compression=None,
@@ -81,15 +81,15 @@
 
 
 async def serve_streams(
-    listener: socket.socket, take: Callable[[WebSocketStream], Awaitable[None]]
+    listener: socket.socket, handle_stream: Callable[[WebSocketStream], Awaitable[None]]
 ) -> None:
-    """Call `take` with each connection that comes in, until cancelled."""
+    """Call `handle_stream` with each incoming connection, until cancelled."""
 
-    async def take_connection(connection: ServerConnection) -> None:
-        await take(WebSocketStream(connection))
+    async def handle_connection(connection: ServerConnection) -> None:
+        await handle_stream(WebSocketStream(connection))
 
     async with serve(
-        take_connection,
+        handle_connection,
         sock=listener,
         ping_interval=None,
         max_size=MAX_FRAME_BYTES,
