--- a/src/brasstray/host/load_push.py
+++ b/src/brasstray/host/load_notifier.py
@@ -12,7 +12,7 @@
     from brasstray.pool.owner import PoolOwner
 
 
-class LoadPush:
+class LoadNotifier:
     """Report free slots between heartbeats.
 
     A place is free for some 10 ms under load: with heartbeats alone, tasks waited in
@@ -40,7 +40,7 @@
                 await self._clock.sleep(self._timing.ping)
                 continue
             await owner.wait_for_change()
-            await self._clock.sleep(self._timing.load_push)
+            await self._clock.sleep(self._timing.load_notice_interval)
             self._tell_change()
 
     def _tell_change(self) -> None:
@@ -53,4 +53,4 @@
             self._told = min(self._told, free)
 
 
-__all__ = ["LoadPush"]
+__all__ = ["LoadNotifier"]
--- a/src/brasstray/host/owner_reach.py
+++ b/src/brasstray/host/owner_state.py
@@ -5,7 +5,7 @@
 from enum import Enum
 
 
-class OwnerReach(Enum):
+class OwnerState(Enum):
     """Tell whether the listed owner of a pool is there.
 
     EXPECTED: not reached since the store listed it. It may be slow to answer, or not
@@ -22,4 +22,4 @@
     RESIGNING = "resigning"
 
 
-__all__ = ["OwnerReach"]
+__all__ = ["OwnerState"]
--- a/src/brasstray/host/ownership.py
+++ b/src/brasstray/host/ownership.py
@@ -9,7 +9,6 @@
 import msgspec
 
 from brasstray.batch.ids import FencingToken
-from brasstray.host.owner_reach import OwnerReach
 from brasstray.host.owner_record import (
     POOL_PREFIX,
     OwnedPool,
@@ -18,8 +17,9 @@
     pool_key,
     pool_of,
 )
-from brasstray.host.recent_takeovers import RecentTakeovers
+from brasstray.host.owner_state import OwnerState
 from brasstray.host.store_follower import follow_store
+from brasstray.host.takeover_backoff import TakeoverBackoff
 from brasstray.store.errors import StoreConflictError, StoreUnavailableError
 from brasstray.store.store import ABSENT
 
@@ -80,7 +80,7 @@
         self._draining = False
         self._vacant_since: timedelta | None = None
         self._timeout = timedelta(0)
-        self._recent = RecentTakeovers(timing.takeover_memory)
+        self._recent = TakeoverBackoff(timing.takeover_memory)
 
     @property
     def known(self) -> bool:
@@ -218,21 +218,21 @@
         owned = self._directory.owned(self._pool)
         if owned is None or owned.owner.host == self._identity.host:
             return False
-        return self._directory.reach(self._pool) is OwnerReach.UP
+        return self._directory.reach(self._pool) is OwnerState.UP
 
     def _is_vacant(self) -> bool:
         owned = self._directory.owned(self._pool)
         if owned is None or owned.owner.host == self._identity.host:
             return True
         match self._directory.reach(self._pool):
-            case OwnerReach.LOST | OwnerReach.GONE | OwnerReach.RESIGNING:
+            case OwnerState.LOST | OwnerState.GONE | OwnerState.RESIGNING:
                 return True
-            case OwnerReach.EXPECTED:
+            case OwnerState.EXPECTED:
                 # On slow hosts, takeovers could chain: each makes work for all hosts,
                 # so that the next owner answers later still and is replaced as well.
                 known_for = self._directory.known_for(self._pool)
                 return known_for >= self._timing.newcomer_timeout
-            case OwnerReach.UP:
+            case OwnerState.UP:
                 return False
 
     async def _claim(self) -> None:
--- a/src/brasstray/host/pool_directory.py
+++ b/src/brasstray/host/pool_directory.py
@@ -9,7 +9,7 @@
 import anyio
 
 from brasstray.batch.ids import PoolId
-from brasstray.host.owner_reach import OwnerReach
+from brasstray.host.owner_state import OwnerState
 from brasstray.host.pool_link import PoolLink
 from brasstray.pool.pool_load import PoolLoad
 
@@ -92,10 +92,10 @@
             for pool, owned in self._owned.items()
         )
 
-    def reach(self, pool: PoolId) -> OwnerReach:
+    def reach(self, pool: PoolId) -> OwnerState:
         """Return what is seen of the listed owner of `pool`, another host."""
         link = self._links.get(pool)
-        return OwnerReach.UP if link is None else link.reach
+        return OwnerState.UP if link is None else link.reach
 
     def known_for(self, pool: PoolId) -> timedelta:
         """Return for how long the listed owner of `pool` has been known as such."""
--- a/src/brasstray/host/pool_move.py
+++ b/src/brasstray/host/pool_handover.py
@@ -16,7 +16,7 @@
     from brasstray.host.requester_links import RequesterLinks
 
 
-class PoolMove:
+class PoolHandover:
     """Ask the strongest reachable host to take the pool, once in a tenure."""
 
     def __init__(
@@ -65,4 +65,4 @@
             self._links.tell_state()
 
 
-__all__ = ["PoolMove"]
+__all__ = ["PoolHandover"]
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -11,17 +11,17 @@
 from brasstray.batch.ids import NO_TOKEN, PoolId
 from brasstray.batch.outcome import BatchOutcome, BatchResult, GiveUpReason
 from brasstray.coordinator.coordinator import Coordinator, chain_of
-from brasstray.host.freeze_watch import FreezeWatch
-from brasstray.host.load_push import LoadPush
+from brasstray.host.load_notifier import LoadNotifier
 from brasstray.host.local_requester import LocalRequester
 from brasstray.host.minion_feed import MinionFeed
 from brasstray.host.operator_knowledge import OperatorKnowledge
 from brasstray.host.ownership import Ownership
 from brasstray.host.pool_directory import PoolDirectory
-from brasstray.host.pool_move import PoolMove
+from brasstray.host.pool_handover import PoolHandover
 from brasstray.host.requester_link import RequesterLink
 from brasstray.host.requester_links import RequesterLinks
 from brasstray.host.succession import Succession
+from brasstray.host.suspension_detector import SuspensionDetector
 from brasstray.peer.message.config_part import ConfigPart
 from brasstray.peer.message.config_wanted import ConfigWanted
 from brasstray.peer.message.hello import Hello
@@ -123,13 +123,13 @@
         )
         self._group: TaskGroup | None = None
         self._draining = False
-        self._move = PoolMove(
+        self._move = PoolHandover(
             self._pool, identity.power, self._requesters, clock, events
         )
-        self._load_push = LoadPush(
+        self._load_push = LoadNotifier(
             clock, timing, lambda: self._owner, self._tell_other_owners
         )
-        self._freezes = FreezeWatch(
+        self._freezes = SuspensionDetector(
             clock, outside.uptime, timing, events, self._is_at_work, self._distrust
         )
         self._leaves_at: timedelta | None = None
--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -8,7 +8,7 @@
 import anyio
 
 from brasstray.batch.task_name import TaskName
-from brasstray.host.owner_reach import OwnerReach
+from brasstray.host.owner_state import OwnerState
 from brasstray.peer.message.hello import Hello
 from brasstray.peer.message.ping import Ping
 from brasstray.peer.message.pool_state import PoolState
@@ -91,7 +91,7 @@
         self._named = True
         self._state: PoolState | None = None
         self._scope = anyio.CancelScope()
-        self._reach = OwnerReach.EXPECTED
+        self._reach = OwnerState.EXPECTED
         self._learned_at = clock.monotonic()
 
     @property
@@ -100,14 +100,14 @@
         return self._state
 
     @property
-    def reach(self) -> OwnerReach:
+    def reach(self) -> OwnerState:
         """Return what the link shows of the owner."""
         return self._reach
 
     @property
     def may_be_asked(self) -> bool:
         """Return whether a request may wait here for the link, as far as is known."""
-        if self._state is not None or self._reach is not OwnerReach.EXPECTED:
+        if self._state is not None or self._reach is not OwnerState.EXPECTED:
             return False
         failed = self._failed_at
         now = self._clock.monotonic()
@@ -161,7 +161,7 @@
         try:
             stream = await self._opener.open(owner.address, owner.port)
         except NobodyListensError:
-            self._lose("nobody listens", OwnerReach.GONE)
+            self._lose("nobody listens", OwnerState.GONE)
             self._return_unsent()
             return
         except StreamClosedError:
@@ -193,7 +193,7 @@
             if self._idle:
                 self._rest()
             else:
-                self._lose(reason, OwnerReach.LOST)
+                self._lose(reason, OwnerState.LOST)
 
     def take_early(self) -> list[RunTasks]:
         """Return the requests that wait for the link, and forget them."""
@@ -225,7 +225,7 @@
         """Record that the link is closed since nobody needs it."""
         self._idle = False
         self._state = None
-        self._reach = OwnerReach.EXPECTED
+        self._reach = OwnerState.EXPECTED
         self._wanted = anyio.Event()
 
     async def _ping(self, pipe: Pipe, scope: anyio.CancelScope) -> None:
@@ -264,7 +264,7 @@
             was_up = self._state is not None
             self._state = state
             resigns = state.resigning
-            self._set_reach(OwnerReach.RESIGNING if resigns else OwnerReach.UP)
+            self._set_reach(OwnerState.RESIGNING if resigns else OwnerState.UP)
             if not was_up:
                 self._events.link_up(self._pool, self._owned.owner.host)
                 self._failed_at = None
@@ -274,17 +274,17 @@
                 self._up(self._pool, frozenset(self._sent_early))
                 self._sent_early.clear()
         elif state.incarnation != self._owned.owner.incarnation:
-            self._lose("another process runs there", OwnerReach.GONE)
-        elif self._reach is not OwnerReach.EXPECTED:
-            self._lose("not the owner", OwnerReach.GONE)
+            self._lose("another process runs there", OwnerState.GONE)
+        elif self._reach is not OwnerState.EXPECTED:
+            self._lose("not the owner", OwnerState.GONE)
 
-    def _set_reach(self, reach: OwnerReach) -> None:
+    def _set_reach(self, reach: OwnerState) -> None:
         if reach is not self._reach:
             self._reach = reach
             self._changed()
 
-    def _lose(self, reason: str, reach: OwnerReach) -> None:
-        if self._reach is not OwnerReach.EXPECTED or reach is OwnerReach.GONE:
+    def _lose(self, reason: str, reach: OwnerState) -> None:
+        if self._reach is not OwnerState.EXPECTED or reach is OwnerState.GONE:
             self._set_reach(reach)
         if self._state is not None:
             self._state = None
--- a/src/brasstray/host/freeze_watch.py
+++ b/src/brasstray/host/suspension_detector.py
@@ -15,7 +15,7 @@
 _MILLISECOND = timedelta(milliseconds=1)
 
 
-class FreezeWatch:
+class SuspensionDetector:
     """Compare how long a pause took with how long it was meant to take.
 
     `uptime` goes on while the machine is suspended. `at_work` tells whether a pool is
@@ -55,4 +55,4 @@
                 self._distrust()
 
 
-__all__ = ["FreezeWatch"]
+__all__ = ["SuspensionDetector"]
--- a/src/brasstray/host/recent_takeovers.py
+++ b/src/brasstray/host/takeover_backoff.py
@@ -14,7 +14,7 @@
 LARGEST_FACTOR = 8
 
 
-class RecentTakeovers:
+class TakeoverBackoff:
     """Remember the owners of the last seconds.
 
     One death in that time is met at once. From the second takeover on the timeout
@@ -41,4 +41,4 @@
         return min(LARGEST_FACTOR, 1 << doublings)
 
 
-__all__ = ["RecentTakeovers"]
+__all__ = ["TakeoverBackoff"]
--- a/src/brasstray/host/timing.py
+++ b/src/brasstray/host/timing.py
@@ -33,7 +33,7 @@
     takeover.
     `config_hold` is for how long after its start a host keeps requests that come before
     it knows a configuration.
-    `load_push` is how often other owners may be told of a change of free slots.
+    `load_notice_interval` is how often other owners may be told of changed free slots.
     `tick` is how often what time changes is looked at while a takeover is due, a pool
     is owned or a job is at work, and `calm_tick` otherwise.
     `vacancy_check` is how often a host looks for a vacancy that no event has told of.
@@ -58,7 +58,7 @@
     store_retry: timedelta = _ms(150)
     tick: timedelta = _ms(20)
     calm_tick: timedelta = _ms(100)
-    load_push: timedelta = _ms(10)
+    load_notice_interval: timedelta = _ms(10)
     vacancy_check: timedelta = _ms(500)
     late: timedelta = _ms(100)
     freeze: timedelta = _ms(500)
--- a/tests/host/test_owner_reach.py
+++ b/tests/host/test_takeover_timeout.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from brasstray.host.recent_takeovers import RecentTakeovers
+from brasstray.host.takeover_backoff import TakeoverBackoff
 
 MEMORY = timedelta(seconds=10)
 
@@ -30,7 +30,7 @@
     ],
 )
 def test_the_timeout_doubles_with_each_takeover(takeovers, now, factor):
-    recent = RecentTakeovers(MEMORY)
+    recent = TakeoverBackoff(MEMORY)
     for token, at in takeovers:
         recent.note(token, ms(at))
     assert recent.timeout_factor(ms(now)) == factor
