--- a/src/brasstray/host/owner_record.py
+++ b/src/brasstray/host/owner_record.py
@@ -40,7 +40,7 @@
     return POOL_PREFIX + pool
 
 
-def pool_of(key: str) -> PoolId:
+def pool_from_key(key: str) -> PoolId:
     """Return the pool whose owner is kept under `key`."""
     return PoolId(key.removeprefix(POOL_PREFIX))
 
@@ -56,6 +56,6 @@
     "OwnedPool",
     "OwnerRecord",
     "owned_pool",
+    "pool_from_key",
     "pool_key",
-    "pool_of",
 ]
--- a/src/brasstray/host/ownership.py
+++ b/src/brasstray/host/ownership.py
@@ -14,8 +14,8 @@
     OwnedPool,
     OwnerRecord,
     owned_pool,
+    pool_from_key,
     pool_key,
-    pool_of,
 )
 from brasstray.host.owner_state import OwnerState
 from brasstray.host.store_follower import follow_store
@@ -56,8 +56,8 @@
         random: Random,
         timing: HostTiming,
         events: HostEvents,
-        take: Callable[[OwnedPool], None],
-        leave: Callable[[str], None],
+        on_acquired: Callable[[OwnedPool], None],
+        on_lost: Callable[[str], None],
         succession: Succession,
         evacuations: Evacuations,
     ) -> None:
@@ -69,18 +69,18 @@
         self._random = random
         self._timing = timing
         self._events = events
-        self._take = take
-        self._leave = leave
+        self._on_acquired = on_acquired
+        self._on_lost = on_lost
         self._succession = succession
         self._evacuations = evacuations
         self._token_held = 0
-        self._token_left = 0
+        self._token_released = 0
         self._confirmed_at = timedelta(0)
         self._known = False
         self._draining = False
         self._vacant_since: timedelta | None = None
-        self._timeout = timedelta(0)
-        self._recent = TakeoverBackoff(timing.takeover_memory)
+        self._vacancy_timeout = timedelta(0)
+        self._takeover_backoff = TakeoverBackoff(timing.takeover_memory)
 
     @property
     def known(self) -> bool:
@@ -96,9 +96,9 @@
         """Claim nothing from now on."""
         self._draining = True
 
-    def drop(self) -> None:
+    def release(self) -> None:
         """Record that this host acts under its token no more."""
-        self._token_left = max(self._token_left, self._token_held)
+        self._token_released = max(self._token_released, self._token_held)
         self._token_held = 0
 
     async def confirm(self, owned: OwnedPool) -> bool:
@@ -114,76 +114,76 @@
         """Follow the store's entries until cancelled."""
         await follow_store(
             "pools",
-            self._learn_after,
+            self._read_store,
             self._clock,
             self._timing.store_retry,
             self._events,
         )
 
-    async def _learn_after(self, as_of: int | None) -> int:
+    async def _read_store(self, as_of: int | None) -> int:
         """Learn of all pools, or of what came after `as_of`; return what is known."""
         if as_of is None:
             found = await self._store.snapshot(POOL_PREFIX)
-            self._learn_all(found.entries)
+            self._apply_snapshot(found.entries)
             return found.as_of
         changes = await self._store.watch(POOL_PREFIX, as_of, self._timing.pool_watch)
         for entry in changes.written:
-            self._learn(entry)
+            self._apply_entry(entry)
         for key in changes.removed:
-            self._forget(key)
-        self._note_confirmed()
+            self._apply_removal(key)
+        self._record_confirmation()
         return changes.as_of
 
-    def _note_confirmed(self) -> None:
+    def _record_confirmation(self) -> None:
         if self._token_held:
             self._confirmed_at = self._clock.monotonic()
 
-    def _learn_all(self, entries: tuple[StoreEntry, ...]) -> None:
+    def _apply_snapshot(self, entries: tuple[StoreEntry, ...]) -> None:
         for entry in entries:
-            self._learn(entry)
+            self._apply_entry(entry)
         listed = {entry.name for entry in entries}
         if pool_key(self._pool) not in listed:
-            self._forget(pool_key(self._pool))
+            self._apply_removal(pool_key(self._pool))
         self._known = True
 
-    def _learn(self, entry: StoreEntry) -> None:
-        pool = pool_of(entry.name)
+    def _apply_entry(self, entry: StoreEntry) -> None:
+        pool = pool_from_key(entry.name)
         try:
             owned = owned_pool(entry)
         except ValueError as error:
             self._events.pool_claim_failed(pool, f"unreadable entry: {error}")
             return
-        self._directory.learn(pool, owned)
+        self._directory.update_owner(pool, owned)
         if pool == self._pool:
-            self._recent.note(owned.token, self._clock.monotonic())
+            self._takeover_backoff.record_owner(owned.token, self._clock.monotonic())
         if pool == self._pool and self._token_held < owned.token:
             if owned.owner.incarnation != self._identity.incarnation:
-                self._lose(f"taken by {owned.owner.incarnation}")
-            elif not self._draining and owned.token > self._token_left:
+                self._drop_ownership(f"taken by {owned.owner.incarnation}")
+            elif not self._draining and owned.token > self._token_released:
                 # The reply to our claim was lost, but the store shows that it was
                 # written.
-                self._hold(owned)
+                self._acquire(owned)
 
-    def _forget(self, key: str) -> None:
-        self._directory.learn(pool_of(key), None)
+    def _apply_removal(self, key: str) -> None:
+        self._directory.update_owner(pool_from_key(key), None)
         if key == pool_key(self._pool):
-            self._lose("the entry was removed")
+            self._drop_ownership("the entry was removed")
 
-    def _lose(self, why: str) -> None:
+    def _drop_ownership(self, reason: str) -> None:
         if self._token_held:
-            self.drop()
-            self._leave(why)
+            self.release()
+            self._on_lost(reason)
 
     async def claim_when_vacant(self) -> None:
         """Claim the pool whenever no reachable host owns it."""
         while True:
-            if self._token_held or self._is_sure_owned():
+            if self._token_held or self._has_reachable_owner():
                 # An owner that is lost, also by silence, ends this wait.
                 with anyio.move_on_after(self._timing.vacancy_check.total_seconds()):
                     await self._directory.wait_for_change()
             else:
                 await self._clock.sleep(self._timing.tick)
-            if self._may_claim and self._is_due():
+            if self._may_claim and self._is_claim_due():
                 await self._claim()
                 self._vacant_since = None
 
@@ -196,42 +196,42 @@
         """
         return self._known and self._evacuations.current.known and not self._draining
 
-    def _is_due(self) -> bool:
+    def _is_claim_due(self) -> bool:
         if self._token_held or not self._is_vacant():
             self._vacant_since = None
             return False
         now = self._clock.monotonic()
         if self._vacant_since is None:
             self._vacant_since = now
-            timeout = self._timing.vacancy_timeout + self._turn()
-            self._timeout = timeout * self._recent.timeout_factor(now)
-        return now - self._vacant_since >= self._timeout
+            timeout = self._timing.vacancy_timeout + self._claim_delay()
+            self._vacancy_timeout = timeout * self._takeover_backoff.timeout_factor(now)
+        return now - self._vacant_since >= self._vacancy_timeout
 
-    def _turn(self) -> timedelta:
+    def _claim_delay(self) -> timedelta:
         """Return how long this host leaves the pool to those that come before it."""
-        head_start = self._succession.head_start
-        if self._succession.named:
-            return head_start
-        return head_start + self._random.random() * self._timing.claim_jitter
+        claim_delay = self._succession.claim_delay
+        if self._succession.is_successor:
+            return claim_delay
+        return claim_delay + self._random.random() * self._timing.claim_jitter
 
-    def _is_sure_owned(self) -> bool:
+    def _has_reachable_owner(self) -> bool:
         owned = self._directory.owned(self._pool)
         if owned is None or owned.owner.host == self._identity.host:
             return False
-        return self._directory.reach(self._pool) is OwnerState.UP
+        return self._directory.owner_state(self._pool) is OwnerState.UP
 
     def _is_vacant(self) -> bool:
         owned = self._directory.owned(self._pool)
         if owned is None or owned.owner.host == self._identity.host:
             return True
-        match self._directory.reach(self._pool):
+        match self._directory.owner_state(self._pool):
             case OwnerState.LOST | OwnerState.GONE | OwnerState.RESIGNING:
                 return True
             case OwnerState.EXPECTED:
                 # On slow hosts, takeovers could chain: each makes work for all hosts,
                 # so that the next owner answers later still and is replaced as well.
-                known_for = self._directory.known_for(self._pool)
-                return known_for >= self._timing.newcomer_timeout
+                owner_age = self._directory.owner_age(self._pool)
+                return owner_age >= self._timing.newcomer_timeout
             case OwnerState.UP:
                 return False
 
@@ -257,13 +257,13 @@
             await self.refresh()
         else:
             entry_owner = OwnedPool(owner=record, token=FencingToken(version))
-            self._directory.learn(self._pool, entry_owner)
-            self._hold(entry_owner)
+            self._directory.update_owner(self._pool, entry_owner)
+            self._acquire(entry_owner)
 
-    def _hold(self, owned: OwnedPool) -> None:
+    def _acquire(self, owned: OwnedPool) -> None:
         self._token_held = owned.token
-        self._note_confirmed()
-        self._take(owned)
+        self._record_confirmation()
+        self._on_acquired(owned)
 
     async def refresh(self) -> None:
         """Ask the store who owns the pool, and act on what it says."""
@@ -273,10 +273,10 @@
             self._events.store_lost("pools", str(error))
             return
         if entry is None:
-            self._forget(pool_key(self._pool))
+            self._apply_removal(pool_key(self._pool))
         else:
-            self._learn(entry)
-        self._note_confirmed()
+            self._apply_entry(entry)
+        self._record_confirmation()
 
 
 __all__ = ["Ownership"]
--- a/src/brasstray/host/pool_directory.py
+++ b/src/brasstray/host/pool_directory.py
@@ -92,17 +92,17 @@
             for pool, owned in self._owned.items()
         )
 
-    def reach(self, pool: PoolId) -> OwnerState:
+    def owner_state(self, pool: PoolId) -> OwnerState:
         """Return what is seen of the listed owner of `pool`, another host."""
         link = self._links.get(pool)
-        return OwnerState.UP if link is None else link.reach
+        return OwnerState.UP if link is None else link.owner_state
 
-    def known_for(self, pool: PoolId) -> timedelta:
+    def owner_age(self, pool: PoolId) -> timedelta:
         """Return for how long the listed owner of `pool` has been known as such."""
         link = self._links.get(pool)
-        return timedelta(0) if link is None else link.known_for(self._clock.monotonic())
+        return timedelta(0) if link is None else link.owner_age(self._clock.monotonic())
 
-    def learn(self, pool: PoolId, owned: OwnedPool | None) -> None:
+    def update_owner(self, pool: PoolId, owned: OwnedPool | None) -> None:
         """Record who owns `pool`; older news than what is known are ignored."""
         known = self._owned.get(pool)
         self._note_change()
@@ -207,7 +207,7 @@
     def _all_loads(self) -> dict[PoolId, PoolLoad]:
         found = {}
         for pool, link in self._links.items():
-            state = link.state
+            state = link.pool_state
             if state is not None and pool != self._local_pool:
                 free = state.free_slots if state.ready else 0
                 left = free - self._taken.get(pool, 0)
--- a/src/brasstray/host/pool_handover.py
+++ b/src/brasstray/host/pool_handover.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from brasstray.host.succession import SHORTEST_TENURE, better_moved, successors
+from brasstray.host.succession import SHORTEST_TENURE, rank_successors, should_hand_over
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -32,36 +32,36 @@
         self._links = links
         self._clock = clock
         self._events = events
-        self._asked = False
+        self._requested = False
         self._owned_since = timedelta(0)
 
     @property
-    def asked(self) -> bool:
+    def requested(self) -> bool:
         """Return whether another host is being asked to take the pool."""
-        return self._asked
+        return self._requested
 
-    def begin(self) -> None:
+    def start_tenure(self) -> None:
         """Record that this host owns the pool from now on."""
         self._owned_since = self._clock.monotonic()
-        self._asked = False
+        self._requested = False
 
-    def end(self) -> None:
+    def end_tenure(self) -> None:
         """Record that this host owns the pool no more."""
-        self._asked = False
+        self._requested = False
 
-    async def watch(self, may_move: Callable[[], bool]) -> None:
+    async def watch(self, may_hand_over: Callable[[], bool]) -> None:
         """Ask whenever the pool is better moved, and `may_move` allows it."""
         while True:
             await self._clock.sleep(SHORTEST_TENURE)
-            if may_move() and not self._asked:
-                self._ask_if_better()
+            if may_hand_over() and not self._requested:
+                self._request_if_due()
 
-    def _ask_if_better(self) -> None:
+    def _request_if_due(self) -> None:
         held = self._clock.monotonic() - self._owned_since
         powers = self._links.powers
-        if better_moved(self._power, powers.values(), held):
-            self._asked = True
-            self._events.pool_moving(self._pool, successors(powers)[0])
+        if should_hand_over(self._power, powers.values(), held):
+            self._requested = True
+            self._events.pool_moving(self._pool, rank_successors(powers)[0])
             self._links.tell_state()
 
 
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -111,8 +111,8 @@
             outside.random,
             timing,
             events,
-            self._take_pool,
-            self._leave_pool,
+            self._start_owner,
+            self._stop_owner,
             self._succession,
             self._evacuations,
         )
@@ -123,7 +123,7 @@
         )
         self._group: TaskGroup | None = None
         self._draining = False
-        self._move = PoolHandover(
+        self._handover = PoolHandover(
             self._pool, identity.power, self._requesters, clock, events
         )
         self._load_push = LoadNotifier(
@@ -227,7 +227,7 @@
             group.start_soon(self._coordinator.watch)
             group.start_soon(self._freezes.run)
             group.start_soon(self._load_push.run)
-            group.start_soon(self._move.watch, self._may_move)
+            group.start_soon(self._handover.watch, self._may_hand_over)
 
     def drain(self, time_left: timedelta | None = None) -> None:
         """Have another host take the pool; go on with the jobs at work here.
@@ -286,10 +286,10 @@
 
     # Owning
 
-    def _take_pool(self, owned: OwnedPool) -> None:
+    def _start_owner(self, owned: OwnedPool) -> None:
         assert self._group is not None
         if self._owner is not None:
-            self._leave_pool("a newer claim of ours")
+            self._stop_owner("a newer claim of ours")
         owner = self._owner = PoolOwner(
             self._pool,
             owned.token,
@@ -304,7 +304,7 @@
             lambda: self._evacuations.covers(self._pool),
         )
         self._events.pool_taken(self._pool, owned.token, "claimed")
-        self._move.begin()
+        self._handover.start_tenure()
         self._owner_scope = anyio.CancelScope()
         self._group.start_soon(self._run_owner, owner, self._owner_scope)
         self._directory.own(self._pool, self._take_local, self._load)
@@ -318,20 +318,20 @@
                 await owner.run()
                 group.cancel_scope.cancel()
         if owner is self._owner and owner.deposed:
-            self._ownership.drop()
-            self._leave_pool("a minion has seen a higher token")
+            self._ownership.release()
+            self._stop_owner("a minion has seen a higher token")
 
-    def _may_move(self) -> bool:
+    def _may_hand_over(self) -> bool:
         return self._owner is not None and not self._draining
 
-    def _leave_pool(self, why: str) -> None:
-        self._move.end()
+    def _stop_owner(self, reason: str) -> None:
+        self._handover.end_tenure()
         owner, self._owner = self._owner, None
         if owner is None or self._owner_scope is None:
             return
         self._directory.disown()
         self._owner_scope.cancel()
-        self._events.pool_left(self._pool, owner.token, why)
+        self._events.pool_left(self._pool, owner.token, reason)
         self._requesters.tell_state()
 
     async def _follow_evacuations(self) -> None:
@@ -362,7 +362,7 @@
             free_slots=load.free_slots,
             wait_ms=load.wait_ms,
             ready=owner is not None and owner.recovered,
-            resigning=self._draining or self._move.asked,
+            resigning=self._draining or self._handover.requested,
             config_version=self.config.version,
             evacuations=self._evacuations.current,
         )
@@ -433,7 +433,7 @@
                 tell = partial(self._directory.tell, pool)
                 self._knowledge.hear(str(pool), message, tell)
             case Successors() if pool == self._pool:
-                self._succession.name(message.hosts)
+                self._succession.set_successors(message.hosts)
             case PoolMinions() if pool == self._pool:
                 self._feed.hear(message.minions)
             case ConfigWanted() | ConfigPart():
@@ -451,8 +451,8 @@
         coordinator asked for is gone too, since owners heard nothing of it.
         """
         if self._owner is not None:
-            self._ownership.drop()
-            self._leave_pool("was suspended")
+            self._ownership.release()
+            self._stop_owner("was suspended")
         self._coordinator.end_all()
 
 
--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -89,31 +89,31 @@
         self._sent_early: set[TaskName] = set()
         self._idle = False
         self._named = True
-        self._state: PoolState | None = None
+        self._pool_state: PoolState | None = None
         self._scope = anyio.CancelScope()
-        self._reach = OwnerState.EXPECTED
+        self._owner_state = OwnerState.EXPECTED
         self._learned_at = clock.monotonic()
 
     @property
-    def state(self) -> PoolState | None:
+    def pool_state(self) -> PoolState | None:
         """Return what the owner last said, while it is reachable."""
-        return self._state
+        return self._pool_state
 
     @property
-    def reach(self) -> OwnerState:
+    def owner_state(self) -> OwnerState:
         """Return what the link shows of the owner."""
-        return self._reach
+        return self._owner_state
 
     @property
     def may_be_asked(self) -> bool:
         """Return whether a request may wait here for the link, as far as is known."""
-        if self._state is not None or self._reach is not OwnerState.EXPECTED:
+        if self._pool_state is not None or self._owner_state is not OwnerState.EXPECTED:
             return False
         failed = self._failed_at
         now = self._clock.monotonic()
         return failed is None or now - failed >= AVOIDED_TIME
 
-    def known_for(self, now: timedelta) -> timedelta:
+    def owner_age(self, now: timedelta) -> timedelta:
         """Return for how long the owner has been known as such."""
         return now - self._learned_at
 
@@ -131,7 +131,7 @@
     def _ask(self, request: RunTasks) -> None:
         self._asked_at = self._clock.monotonic()
         self._wanted.set()
-        if self._state is None:
+        if self._pool_state is None:
             self._sent_early.update(_tasks_of(request))
         if self._pipe is not None:
             self._pipe.tell(request)
@@ -224,8 +224,8 @@
     def _rest(self) -> None:
         """Record that the link is closed since nobody needs it."""
         self._idle = False
-        self._state = None
-        self._reach = OwnerState.EXPECTED
+        self._pool_state = None
+        self._owner_state = OwnerState.EXPECTED
         self._wanted = anyio.Event()
 
     async def _ping(self, pipe: Pipe, scope: anyio.CancelScope) -> None:
@@ -259,12 +259,12 @@
             )
         self._take_message(self._pool, message)
 
-    def _see(self, state: PoolState) -> None:
-        if state.pool == self._pool and state.token >= self._owned.token:
-            was_up = self._state is not None
-            self._state = state
-            resigns = state.resigning
-            self._set_reach(OwnerState.RESIGNING if resigns else OwnerState.UP)
+    def _see(self, pool_state: PoolState) -> None:
+        if pool_state.pool == self._pool and pool_state.token >= self._owned.token:
+            was_up = self._pool_state is not None
+            self._pool_state = pool_state
+            resigns = pool_state.resigning
+            self._set_owner_state(OwnerState.RESIGNING if resigns else OwnerState.UP)
             if not was_up:
                 self._events.link_up(self._pool, self._owned.owner.host)
                 self._failed_at = None
@@ -273,21 +273,21 @@
                 # would be queued here and could run twice.
                 self._up(self._pool, frozenset(self._sent_early))
                 self._sent_early.clear()
-        elif state.incarnation != self._owned.owner.incarnation:
+        elif pool_state.incarnation != self._owned.owner.incarnation:
             self._lose("another process runs there", OwnerState.GONE)
-        elif self._reach is not OwnerState.EXPECTED:
+        elif self._owner_state is not OwnerState.EXPECTED:
             self._lose("not the owner", OwnerState.GONE)
 
-    def _set_reach(self, reach: OwnerState) -> None:
-        if reach is not self._reach:
-            self._reach = reach
+    def _set_owner_state(self, owner_state: OwnerState) -> None:
+        if owner_state is not self._owner_state:
+            self._owner_state = owner_state
             self._changed()
 
-    def _lose(self, reason: str, reach: OwnerState) -> None:
-        if self._reach is not OwnerState.EXPECTED or reach is OwnerState.GONE:
-            self._set_reach(reach)
-        if self._state is not None:
-            self._state = None
+    def _lose(self, reason: str, new: OwnerState) -> None:
+        if self._owner_state is not OwnerState.EXPECTED or new is OwnerState.GONE:
+            self._set_owner_state(new)
+        if self._pool_state is not None:
+            self._pool_state = None
             self._events.link_down(self._pool, self._owned.owner.host, reason)
 
 
--- a/src/brasstray/host/requester_links.py
+++ b/src/brasstray/host/requester_links.py
@@ -4,7 +4,7 @@
 
 from typing import TYPE_CHECKING
 
-from brasstray.host.succession import successors
+from brasstray.host.succession import rank_successors
 from brasstray.job.ids import HostName
 from brasstray.peer.message.successors import Successors
 
@@ -52,7 +52,7 @@
 
     def name_successors(self) -> None:
         """Tell the hosts of the own data centre who takes the pool next."""
-        message = Successors(hosts=successors(self.powers))
+        message = Successors(hosts=rank_successors(self.powers))
         self.tell_own_centre(message)
         for link in self._own_centre():
             link.watch_closely(link.name in message.hosts)
--- a/src/brasstray/host/succession.py
+++ b/src/brasstray/host/succession.py
@@ -12,12 +12,12 @@
 
 # With the owner and two successors gone at once, as when a rack fails, the third is
 # left; hosts that are not named come after it, spread by chance.
-SUCCESSORS_NAMED = 3
+MAX_SUCCESSORS = 3
 # How much later each rank claims: enough to see the claim of the rank before it.
-RANK_STEP = timedelta(milliseconds=40)
+CLAIM_DELAY_STEP = timedelta(milliseconds=40)
 # A pool moves only to a host so many times as strong. Less gains little for the work of
 # a takeover, and measures of equal hosts must not make it move to and fro.
-WORTH_MOVING = 1.5
+MIN_POWER_RATIO = 1.5
 # For how long an owner keeps a pool at least: hosts that come back one by one would
 # otherwise pass it on each time.
 SHORTEST_TENURE = timedelta(seconds=3)
@@ -32,46 +32,52 @@
     late, and callers wait for as long as it has the pool.
     """
 
-    def __init__(self, here: HostName) -> None:
-        self._here = here
-        self._named: tuple[HostName, ...] = ()
+    def __init__(self, host: HostName) -> None:
+        self._host = host
+        self._successors: tuple[HostName, ...] = ()
 
-    def name(self, hosts: tuple[HostName, ...]) -> None:
+    def set_successors(self, hosts: tuple[HostName, ...]) -> None:
         """Record who comes next, the first claims first."""
-        self._named = hosts
+        self._successors = hosts
 
     @property
-    def head_start(self) -> timedelta:
+    def claim_delay(self) -> timedelta:
         """Return how long this host waits for those that come before it."""
-        return RANK_STEP * self._rank
+        return CLAIM_DELAY_STEP * self._rank
 
     @property
-    def named(self) -> bool:
+    def is_successor(self) -> bool:
         """Return whether this host has a rank of its own."""
-        return self._here in self._named
+        return self._host in self._successors
 
     @property
     def _rank(self) -> int:
-        return self._named.index(self._here) if self.named else len(self._named)
+        return (
+            self._successors.index(self._host)
+            if self.is_successor
+            else len(self._successors)
+        )
 
 
-def successors(powers: Mapping[HostName, float]) -> tuple[HostName, ...]:
+def rank_successors(powers: Mapping[HostName, float]) -> tuple[HostName, ...]:
     """Return who is to take a pool over next, the strongest first."""
     ranked = sorted(powers, key=lambda host: (-powers[host], host))
-    return tuple(ranked[:SUCCESSORS_NAMED])
+    return tuple(ranked[:MAX_SUCCESSORS])
 
 
-def better_moved(own_power: float, others: Iterable[float], held: timedelta) -> bool:
+def should_hand_over(
+    own_power: float, others: Iterable[float], held: timedelta
+) -> bool:
     """Return whether a pool held for `held` had better go to a stronger host."""
     strongest = max(others, default=0.0)
-    return held >= SHORTEST_TENURE and strongest >= own_power * WORTH_MOVING
+    return held >= SHORTEST_TENURE and strongest >= own_power * MIN_POWER_RATIO
 
 
 __all__ = [
-    "RANK_STEP",
+    "CLAIM_DELAY_STEP",
+    "MAX_SUCCESSORS",
     "SHORTEST_TENURE",
-    "SUCCESSORS_NAMED",
     "Succession",
-    "better_moved",
-    "successors",
+    "rank_successors",
+    "should_hand_over",
 ]
--- a/src/brasstray/host/takeover_backoff.py
+++ b/src/brasstray/host/takeover_backoff.py
@@ -11,7 +11,7 @@
     from brasstray.batch.ids import FencingToken
 
 # A longer timeout would outlast the callers of a dead owner.
-LARGEST_FACTOR = 8
+MAX_TIMEOUT_FACTOR = 8
 
 
 class TakeoverBackoff:
@@ -22,23 +22,23 @@
     otherwise take the pool from each other as fast as they can.
     """
 
-    def __init__(self, memory: timedelta) -> None:
-        self._memory = memory
-        self._newest = 0
+    def __init__(self, window: timedelta) -> None:
+        self._window = window
+        self._newest_token = 0
         self._times: deque[timedelta] = deque(maxlen=16)
 
-    def note(self, token: FencingToken, now: timedelta) -> None:
+    def record_owner(self, token: FencingToken, now: timedelta) -> None:
         """Record the owner under `token`; an owner known before counts once."""
-        if token > self._newest:
-            self._newest = token
+        if token > self._newest_token:
+            self._newest_token = token
             self._times.append(now)
 
     def timeout_factor(self, now: timedelta) -> int:
         """Return how many times as long as usual an owner is waited for."""
-        while self._times and now - self._times[0] > self._memory:
+        while self._times and now - self._times[0] > self._window:
             self._times.popleft()
         doublings = max(0, len(self._times) - 1)
-        return min(LARGEST_FACTOR, 1 << doublings)
+        return min(MAX_TIMEOUT_FACTOR, 1 << doublings)
 
 
 __all__ = ["TakeoverBackoff"]
--- a/tests/host/test_succession.py
+++ b/tests/host/test_succession.py
@@ -10,11 +10,11 @@
 
 from brasstray.batch.outcome import BatchOutcome
 from brasstray.host.succession import (
-    RANK_STEP,
+    CLAIM_DELAY_STEP,
     SHORTEST_TENURE,
     Succession,
-    better_moved,
-    successors,
+    rank_successors,
+    should_hand_over,
 )
 from brasstray_standins.pool_system import PoolSystemSize
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("named", "here", "head_start"),
+    ("named", "here", "claim_delay"),
     [
         ((), "a", 0),
         (("a", "b", "c"), "a", 0),
@@ -31,10 +31,10 @@
         (("a", "b", "c"), "d", 3),
     ],
 )
-def test_hosts_claim_in_the_order_that_the_owner_named(named, here, head_start):
+def test_hosts_claim_in_the_order_that_the_owner_named(named, here, claim_delay):
     succession = Succession(here)
-    succession.name(named)
-    assert succession.head_start == head_start * RANK_STEP
+    succession.set_successors(named)
+    assert succession.claim_delay == claim_delay * CLAIM_DELAY_STEP
 
 
 @pytest.mark.parametrize(
@@ -46,7 +46,7 @@
     ],
 )
 def test_the_strongest_come_first(powers, first):
-    assert successors(powers) == first
+    assert rank_successors(powers) == first
 
 
 @pytest.mark.parametrize(
@@ -60,7 +60,7 @@
     ],
 )
 def test_a_pool_moves_to_a_much_stronger_host_only(own, others, held, moved):
-    assert better_moved(own, others, held) is moved
+    assert should_hand_over(own, others, held) is moved
 
 
 def is_strong(name):
--- a/tests/host/test_takeover_timeout.py
+++ b/tests/host/test_takeover_timeout.py
@@ -8,7 +8,7 @@
 
 from brasstray.host.takeover_backoff import TakeoverBackoff
 
-MEMORY = timedelta(seconds=10)
+WINDOW = timedelta(seconds=10)
 
 
 def ms(count):
@@ -30,10 +30,10 @@
     ],
 )
 def test_the_timeout_doubles_with_each_takeover(takeovers, now, factor):
-    recent = TakeoverBackoff(MEMORY)
+    backoff = TakeoverBackoff(WINDOW)
     for token, at in takeovers:
-        recent.note(token, ms(at))
-    assert recent.timeout_factor(ms(now)) == factor
+        backoff.record_owner(token, ms(at))
+    assert backoff.timeout_factor(ms(now)) == factor
 
 
 @pytest.mark.parametrize(
