--- a/src/brasstray/host/load_notifier.py
+++ b/src/brasstray/host/load_notifier.py
@@ -24,33 +24,33 @@
         clock: Clock,
         timing: HostTiming,
         owner: Callable[[], PoolOwner | None],
-        tell: Callable[[], None],
+        notify: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._timing = timing
         self._owner = owner
-        self._tell = tell
-        self._told = 0
+        self._notify = notify
+        self._reported = 0
 
     async def run(self) -> None:
         """Tell of each change until cancelled."""
         while True:
             owner = self._owner()
             if owner is None:
-                await self._clock.sleep(self._timing.ping)
+                await self._clock.sleep(self._timing.heartbeat_interval)
                 continue
             await owner.wait_for_change()
             await self._clock.sleep(self._timing.load_notice_interval)
-            self._tell_change()
+            self._notify_if_changed()
 
-    def _tell_change(self) -> None:
+    def _notify_if_changed(self) -> None:
         owner = self._owner()
         free = 0 if owner is None else owner.load().free_slots
-        if free > self._told or (self._told and not free):
-            self._told = free
-            self._tell()
+        if free > self._reported or (self._reported and not free):
+            self._reported = free
+            self._notify()
         else:
-            self._told = min(self._told, free)
+            self._reported = min(self._reported, free)
 
 
 __all__ = ["LoadNotifier"]
--- a/src/brasstray/host/local_requester.py
+++ b/src/brasstray/host/local_requester.py
@@ -14,17 +14,19 @@
 class LocalRequester:
     """Stand for the host itself among those that ask its pool for tasks."""
 
-    def __init__(self, host: HostName, take: Callable[[PoolMessage], None]) -> None:
+    def __init__(
+        self, host: HostName, on_message: Callable[[PoolMessage], None]
+    ) -> None:
         self.name = str(host)
-        self._take = take
+        self._on_message = on_message
 
     def tell(self, message: PoolMessage) -> None:
         """Take `message` at once."""
-        self._take(message)
+        self._on_message(message)
 
     def tell_later(self, message: PoolMessage) -> None:
         """Take `message` at once: within a process nothing is saved by waiting."""
-        self._take(message)
+        self._on_message(message)
 
 
 __all__ = ["LocalRequester"]
--- a/src/brasstray/host/ownership.py
+++ b/src/brasstray/host/ownership.py
@@ -80,7 +80,7 @@
         self._draining = False
         self._vacant_since: timedelta | None = None
         self._vacancy_timeout = timedelta(0)
-        self._takeover_backoff = TakeoverBackoff(timing.takeover_memory)
+        self._takeover_backoff = TakeoverBackoff(timing.takeover_window)
 
     @property
     def known(self) -> bool:
@@ -126,7 +126,9 @@
             found = await self._store.snapshot(POOL_PREFIX)
             self._apply_snapshot(found.entries)
             return found.as_of
-        changes = await self._store.watch(POOL_PREFIX, as_of, self._timing.pool_watch)
+        changes = await self._store.watch(
+            POOL_PREFIX, as_of, self._timing.pool_watch_timeout
+        )
         for entry in changes.written:
             self._apply_entry(entry)
         for key in changes.removed:
@@ -179,7 +181,9 @@
         while True:
             if self._token_held or self._has_reachable_owner():
                 # An owner that is lost, also by silence, ends this wait.
-                with anyio.move_on_after(self._timing.vacancy_check.total_seconds()):
+                with anyio.move_on_after(
+                    self._timing.vacancy_check_interval.total_seconds()
+                ):
                     await self._directory.wait_for_change()
             else:
                 await self._clock.sleep(self._timing.tick)
@@ -231,7 +235,7 @@
                 # On slow hosts, takeovers could chain: each makes work for all hosts,
                 # so that the next owner answers later still and is replaced as well.
                 owner_age = self._directory.owner_age(self._pool)
-                return owner_age >= self._timing.newcomer_timeout
+                return owner_age >= self._timing.new_owner_timeout
             case OwnerState.UP:
                 return False
 
--- a/src/brasstray/host/pool_directory.py
+++ b/src/brasstray/host/pool_directory.py
@@ -41,9 +41,9 @@
         timing: HostTiming,
         events: HostEvents,
         knowledge: OperatorKnowledge,
-        take: Callable[[PoolId, PoolMessage], None],
-        up: Callable[[PoolId, frozenset[TaskName]], None],
-        busy: Callable[[PoolId], bool],
+        on_message: Callable[[PoolId, PoolMessage], None],
+        on_reachable: Callable[[PoolId, frozenset[TaskName]], None],
+        has_tasks: Callable[[PoolId], bool],
     ) -> None:
         self._identity = identity
         self._evacuations = knowledge.evacuations
@@ -56,23 +56,23 @@
             timing=timing,
             events=events,
             knowledge=knowledge,
-            take=take,
-            up=up,
-            keep=self._keeps,
-            busy=busy,
-            changed=self._note_change,
+            on_message=on_message,
+            on_reachable=on_reachable,
+            keep_open=self._keeps_open,
+            has_tasks=has_tasks,
+            on_change=self._notify_change,
         )
         self._change = anyio.Event()
         self._home = PoolId(str(identity.data_centre))
         self._owned: dict[PoolId, OwnedPool] = {}
         self._links: dict[PoolId, PoolLink] = {}
-        self._taken: dict[PoolId, int] = {}
+        self._reserved_slots: dict[PoolId, int] = {}
         self._group: TaskGroup | None = None
-        self._local: Callable[[PoolMessage], None] | None = None
+        self._send_local: Callable[[PoolMessage], None] | None = None
         self._local_pool: PoolId | None = None
         self._local_load: Callable[[], PoolLoad] = PoolLoad
 
-    def open(self, group: TaskGroup) -> None:
+    def use_task_group(self, group: TaskGroup) -> None:
         """Run links in `group` from now on."""
         self._group = group
 
@@ -105,7 +105,7 @@
     def update_owner(self, pool: PoolId, owned: OwnedPool | None) -> None:
         """Record who owns `pool`; older news than what is known are ignored."""
         known = self._owned.get(pool)
-        self._note_change()
+        self._notify_change()
         if owned is None:
             self._owned.pop(pool, None)
             self._drop_link(pool)
@@ -122,7 +122,7 @@
             link.tell(request)
         self._group.start_soon(link.run)
 
-    def _note_change(self) -> None:
+    def _notify_change(self) -> None:
         self._change.set()
 
     async def wait_for_change(self) -> None:
@@ -130,7 +130,7 @@
         await self._change.wait()
         self._change = anyio.Event()
 
-    def _keeps(self, pool: PoolId) -> bool:
+    def _keeps_open(self, pool: PoolId) -> bool:
         """Return whether the link to `pool` stays open without tasks there.
 
         Every host watches the pool that it may take over. Owners tell one another of
@@ -144,22 +144,22 @@
         if link is None:
             return []
         link.stop()
-        return link.take_early()
+        return link.take_queued_requests()
 
-    def own(
+    def set_local_pool(
         self,
         pool: PoolId,
         tell: Callable[[PoolMessage], None],
         load: Callable[[], PoolLoad],
     ) -> None:
         """Reach `pool` within the process from now on."""
-        self._local_pool, self._local, self._local_load = pool, tell, load
+        self._local_pool, self._send_local, self._local_load = pool, tell, load
         for link in self._links.values():
-            link.want()
+            link.request_connection()
 
-    def disown(self) -> None:
+    def clear_local_pool(self) -> None:
         """Reach no pool within the process any more."""
-        self._local_pool = self._local = None
+        self._local_pool = self._send_local = None
 
     # What a coordinator needs
 
@@ -175,7 +175,7 @@
         return [
             pool
             for pool, link in self._links.items()
-            if pool != self._local_pool and link.may_be_asked
+            if pool != self._local_pool and link.is_connectable
         ]
 
     def is_evacuated(self, pool: PoolId) -> bool:
@@ -188,8 +188,8 @@
 
     def tell(self, pool: PoolId, message: PoolMessage) -> None:
         """Send `message` to the owner of `pool`; drop it if that is unreachable."""
-        if pool == self._local_pool and self._local is not None:
-            self._local(message)
+        if pool == self._local_pool and self._send_local is not None:
+            self._send_local(message)
         elif pool in self._links:
             self._links[pool].tell(message)
 
@@ -210,17 +210,17 @@
             state = link.pool_state
             if state is not None and pool != self._local_pool:
                 free = state.free_slots if state.ready else 0
-                left = free - self._taken.get(pool, 0)
+                left = free - self._reserved_slots.get(pool, 0)
                 found[pool] = PoolLoad(max(0, left), state.wait_ms, max(0, -left))
         return found
 
     def reserve_slots(self, pool: PoolId, count: int) -> None:
         """Count `count` slots of `pool` as used until it reports its load again."""
-        self._taken[pool] = self._taken.get(pool, 0) + count
+        self._reserved_slots[pool] = self._reserved_slots.get(pool, 0) + count
 
-    def heard_load(self, pool: PoolId) -> None:
+    def reset_reserved_slots(self, pool: PoolId) -> None:
         """Take the load that `pool` has just told as it is."""
-        self._taken.pop(pool, None)
+        self._reserved_slots.pop(pool, None)
 
 
 __all__ = ["PoolDirectory"]
--- a/src/brasstray/host/pool_handover.py
+++ b/src/brasstray/host/pool_handover.py
@@ -62,7 +62,7 @@
         if should_hand_over(self._power, powers.values(), held):
             self._requested = True
             self._events.pool_moving(self._pool, rank_successors(powers)[0])
-            self._links.tell_state()
+            self._links.send_state()
 
 
 __all__ = ["PoolHandover"]
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -78,7 +78,7 @@
         self._evacuations = self._knowledge.evacuations
         self._pool = PoolId(str(identity.data_centre))
         self._requesters = RequesterLinks(identity.data_centre)
-        self._feed = MinionFeed(
+        self._minion_feed = MinionFeed(
             identity.data_centre,
             outside.minion_list,
             self._knowledge.config,
@@ -94,7 +94,7 @@
             timing,
             events,
             self._knowledge,
-            self.take_from_pool,
+            self.handle_pool_message,
             lambda pool, sent: self._coordinator.claim(pool, sent),
             lambda pool: self._coordinator.has_tasks_at(pool),
         )
@@ -118,22 +118,22 @@
         )
         self._owner: PoolOwner | None = None
         self._owner_scope: anyio.CancelScope | None = None
-        self._local = LocalRequester(
-            identity.host, partial(self.take_from_pool, self._pool)
+        self._local_requester = LocalRequester(
+            identity.host, partial(self.handle_pool_message, self._pool)
         )
         self._group: TaskGroup | None = None
         self._draining = False
         self._handover = PoolHandover(
             self._pool, identity.power, self._requesters, clock, events
         )
-        self._load_push = LoadNotifier(
-            clock, timing, lambda: self._owner, self._tell_other_owners
+        self._load_notifier = LoadNotifier(
+            clock, timing, lambda: self._owner, self._notify_other_owners
         )
-        self._freezes = SuspensionDetector(
-            clock, outside.uptime, timing, events, self._is_at_work, self._distrust
+        self._suspension_detector = SuspensionDetector(
+            clock, outside.uptime, timing, events, self._is_active, self._discard_state
         )
-        self._leaves_at: timedelta | None = None
-        self._began_at: timedelta | None = None
+        self._drain_deadline: timedelta | None = None
+        self._started_at: timedelta | None = None
 
     @property
     def identity(self) -> HostIdentity:
@@ -216,17 +216,17 @@
 
     async def run(self) -> None:
         """Serve until cancelled."""
-        self._began_at = self._clock.monotonic()
+        self._started_at = self._clock.monotonic()
         async with anyio.create_task_group() as group:
             self._group = group
-            self._directory.open(group)
+            self._directory.use_task_group(group)
             group.start_soon(self._knowledge.run)
             group.start_soon(self._follow_evacuations)
             group.start_soon(self._ownership.follow)
             group.start_soon(self._ownership.claim_when_vacant)
             group.start_soon(self._coordinator.watch)
-            group.start_soon(self._freezes.run)
-            group.start_soon(self._load_push.run)
+            group.start_soon(self._suspension_detector.run)
+            group.start_soon(self._load_notifier.run)
             group.start_soon(self._handover.watch, self._may_hand_over)
 
     def drain(self, time_left: timedelta | None = None) -> None:
@@ -241,9 +241,9 @@
         self._draining = True
         self._events.draining()
         self._ownership.drain()
-        self._requesters.tell_state()
+        self._requesters.send_state()
         if time_left is not None:
-            self._leaves_at = self._clock.monotonic() + time_left
+            self._drain_deadline = self._clock.monotonic() + time_left
             assert self._group is not None
             self._group.start_soon(self._end_jobs_after, time_left)
 
@@ -260,8 +260,10 @@
         """
         if self.config.current is None:
             now = self._clock.monotonic()
-            since = now - self._began_at if self._began_at is not None else timedelta(0)
-            left = max(timedelta(0), self._timing.config_hold - since)
+            since = (
+                now - self._started_at if self._started_at is not None else timedelta(0)
+            )
+            left = max(timedelta(0), self._timing.first_config_timeout - since)
             with anyio.move_on_after(left.total_seconds()):
                 await self.config.wait_known()
         return self.config.current
@@ -275,8 +277,8 @@
         one that is read and still waits when the process ends has no answer at all.
         What cannot be done before that is refused at once; nothing of it has run.
         """
-        if self._leaves_at is not None:
-            left = self._leaves_at - self._clock.monotonic()
+        if self._drain_deadline is not None:
+            left = self._drain_deadline - self._clock.monotonic()
             if chain_of(batch) >= left:
                 self._events.request_refused(
                     batch.id, GiveUpReason.STOPPING, f"{left // _MILLISECOND} ms left"
@@ -300,21 +302,21 @@
             self._directory,
             self._events,
             lambda: self._ownership.confirm(owned),
-            self._feed.held,
+            self._minion_feed.held,
             lambda: self._evacuations.covers(self._pool),
         )
         self._events.pool_taken(self._pool, owned.token, "claimed")
         self._handover.start_tenure()
         self._owner_scope = anyio.CancelScope()
         self._group.start_soon(self._run_owner, owner, self._owner_scope)
-        self._directory.own(self._pool, self._take_local, self._load)
-        self._requesters.tell_state()
+        self._directory.set_local_pool(self._pool, self._handle_local, self._load)
+        self._requesters.send_state()
         self._coordinator.claim(self._pool)
 
     async def _run_owner(self, owner: PoolOwner, scope: anyio.CancelScope) -> None:
         with scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._feed.follow, owner)
+                group.start_soon(self._minion_feed.follow, owner)
                 await owner.run()
                 group.cancel_scope.cancel()
         if owner is self._owner and owner.deposed:
@@ -329,10 +331,10 @@
         owner, self._owner = self._owner, None
         if owner is None or self._owner_scope is None:
             return
-        self._directory.disown()
+        self._directory.clear_local_pool()
         self._owner_scope.cancel()
         self._events.pool_left(self._pool, owner.token, reason)
-        self._requesters.tell_state()
+        self._requesters.send_state()
 
     async def _follow_evacuations(self) -> None:
         """Act on each change, and tell it to the hosts that are linked to this one.
@@ -344,10 +346,10 @@
             await self._evacuations.wait_for_change()
             if self._owner is not None:
                 self._owner.review()
-            self._requesters.tell_state()
+            self._requesters.send_state()
 
-    def _tell_other_owners(self) -> None:
-        self._requesters.tell_state(self._directory.owns_other_pool)
+    def _notify_other_owners(self) -> None:
+        self._requesters.send_state(self._directory.owns_other_pool)
 
     def _load(self) -> PoolLoad:
         return self._owner.load() if self._owner is not None else PoolLoad()
@@ -372,7 +374,7 @@
     async def serve(self, stream: MessageStream) -> None:
         """Serve a host that has opened a connection, until it ends."""
         link = RequesterLink(
-            stream, self._clock, self._timing, self._state, self._take_request
+            stream, self._clock, self._timing, self._state, self._handle_request
         )
         self._requesters.add(link)
         try:
@@ -380,7 +382,7 @@
         finally:
             self._requesters.discard(link)
             if self._owner is not None:
-                self._requesters.name_successors()
+                self._requesters.announce_successors()
         if reason != "silent":
             # The host may come back on another connection and ask again; its runs go
             # on for as long as if it had only been silent.
@@ -389,14 +391,14 @@
         if self._owner is not None:
             self._owner.lose_requester(link)
 
-    def _take_request(self, link: RequesterLink, message: PoolMessage) -> None:
+    def _handle_request(self, link: RequesterLink, message: PoolMessage) -> None:
         match message:
             case Hello():
-                link.introduce(message)
+                link.record_hello(message)
                 self._events.requester_up(link.name)
                 if self._owner is not None:
-                    self._feed.tell(link)
-                    self._requesters.name_successors()
+                    self._minion_feed.tell(link)
+                    self._requesters.announce_successors()
                 self._knowledge.hear(link.name, message, link.tell)
             case Ping():
                 self._knowledge.hear(link.name, message, link.tell)
@@ -409,17 +411,17 @@
                 if self._owner is not None:
                     self._owner.stop_tasks(link, message.batch)
 
-    def _take_local(self, message: PoolMessage) -> None:
+    def _handle_local(self, message: PoolMessage) -> None:
         if self._owner is None:
             return
         if isinstance(message, RunTasks):
-            self._owner.run_tasks(self._local, message)
+            self._owner.run_tasks(self._local_requester, message)
         elif isinstance(message, StopTasks):
-            self._owner.stop_tasks(self._local, message.batch)
+            self._owner.stop_tasks(self._local_requester, message.batch)
 
     # Messages to the coordinator
 
-    def take_from_pool(self, pool: PoolId, message: PoolMessage) -> None:
+    def handle_pool_message(self, pool: PoolId, message: PoolMessage) -> None:
         """Take what the owner of `pool` tells."""
         match message:
             case TasksEnded():
@@ -427,7 +429,7 @@
             case TasksReturned():
                 self._coordinator.take_returned(pool, message)
             case PoolState():
-                self._directory.heard_load(pool)
+                self._directory.reset_reserved_slots(pool)
                 if message.free_slots and self._owner is not None:
                     self._owner.review()
                 tell = partial(self._directory.tell, pool)
@@ -435,15 +437,15 @@
             case Successors() if pool == self._pool:
                 self._succession.set_successors(message.hosts)
             case PoolMinions() if pool == self._pool:
-                self._feed.hear(message.minions)
+                self._minion_feed.hear(message.minions)
             case ConfigWanted() | ConfigPart():
                 tell = partial(self._directory.tell, pool)
                 self._knowledge.take(str(pool), message, tell)
 
-    def _is_at_work(self) -> bool:
+    def _is_active(self) -> bool:
         return self._owner is not None or self._coordinator.active > 0
 
-    def _distrust(self) -> None:
+    def _discard_state(self) -> None:
         """Drop the pool and every job, after a suspension.
 
         Guards against orders of an owner that was suspended while another took its
--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -34,11 +34,11 @@
 
 
 # Bursts that forward tasks return within seconds; keeping the link saves reopening it.
-IDLE_TIME = timedelta(seconds=3)
+IDLE_TIMEOUT = timedelta(seconds=3)
 # How long a request waits for a link that cannot be opened, about a takeover.
-EARLY_TIMEOUT = timedelta(milliseconds=300)
+QUEUED_REQUEST_TIMEOUT = timedelta(milliseconds=300)
 # After it could not be reached, an owner is not asked for this long while others are.
-AVOIDED_TIME = timedelta(seconds=1)
+UNREACHABLE_BACKOFF = timedelta(seconds=1)
 
 
 class PoolLink:
@@ -62,11 +62,11 @@
         timing: HostTiming,
         events: HostEvents,
         knowledge: OperatorKnowledge,
-        take: Callable[[PoolId, PoolMessage], None],
-        up: Callable[[PoolId, frozenset[TaskName]], None],
-        keep: Callable[[PoolId], bool],
-        busy: Callable[[PoolId], bool],
-        changed: Callable[[], None],
+        on_message: Callable[[PoolId, PoolMessage], None],
+        on_reachable: Callable[[PoolId, frozenset[TaskName]], None],
+        keep_open: Callable[[PoolId], bool],
+        has_tasks: Callable[[PoolId], bool],
+        on_change: Callable[[], None],
     ) -> None:
         self._pool = pool
         self._owned = owned
@@ -76,19 +76,19 @@
         self._timing = timing
         self._events = events
         self._knowledge = knowledge
-        self._take_message = take
-        self._up = up
-        self._keep = keep
-        self._busy = busy
-        self._changed = changed
-        self._wanted = anyio.Event()
-        self._early: list[RunTasks] = []
-        self._asked_at = clock.monotonic()
+        self._on_message = on_message
+        self._on_reachable = on_reachable
+        self._keep_open = keep_open
+        self._has_tasks = has_tasks
+        self._on_change = on_change
+        self._wake = anyio.Event()
+        self._queued: list[RunTasks] = []
+        self._last_request_at = clock.monotonic()
         self._failed_at: timedelta | None = None
         self._pipe: Pipe | None = None
-        self._sent_early: set[TaskName] = set()
-        self._idle = False
-        self._named = True
+        self._tasks_sent_early: set[TaskName] = set()
+        self._closed_as_idle = False
+        self._is_successor = True
         self._pool_state: PoolState | None = None
         self._scope = anyio.CancelScope()
         self._owner_state = OwnerState.EXPECTED
@@ -105,13 +105,13 @@
         return self._owner_state
 
     @property
-    def may_be_asked(self) -> bool:
+    def is_connectable(self) -> bool:
         """Return whether a request may wait here for the link, as far as is known."""
         if self._pool_state is not None or self._owner_state is not OwnerState.EXPECTED:
             return False
         failed = self._failed_at
         now = self._clock.monotonic()
-        return failed is None or now - failed >= AVOIDED_TIME
+        return failed is None or now - failed >= UNREACHABLE_BACKOFF
 
     def owner_age(self, now: timedelta) -> timedelta:
         """Return for how long the owner has been known as such."""
@@ -121,26 +121,26 @@
         """Send `message`; a request opens the link, anything else is dropped then."""
         match message:
             case RunTasks():
-                self._ask(message)
+                self._send_request(message)
             case StopTasks() if self._pipe is None:
                 # A request sent after its job has ended would start orphaned runs.
-                self._early = [r for r in self._early if r.batch != message.batch]
+                self._queued = [r for r in self._queued if r.batch != message.batch]
             case _ if self._pipe is not None:
                 self._pipe.tell(message)
 
-    def _ask(self, request: RunTasks) -> None:
-        self._asked_at = self._clock.monotonic()
-        self._wanted.set()
+    def _send_request(self, request: RunTasks) -> None:
+        self._last_request_at = self._clock.monotonic()
+        self._wake.set()
         if self._pool_state is None:
-            self._sent_early.update(_tasks_of(request))
+            self._tasks_sent_early.update(_tasks_of(request))
         if self._pipe is not None:
             self._pipe.tell(request)
         elif not request.claimed:
-            self._early.append(request)
+            self._queued.append(request)
 
-    def want(self) -> None:
+    def request_connection(self) -> None:
         """Open the link now."""
-        self._wanted.set()
+        self._wake.set()
 
     def stop(self) -> None:
         """End `run`."""
@@ -150,25 +150,27 @@
         """Stay connected while the owner is wanted, until stopped."""
         with self._scope:
             while True:
-                if not (self._keep(self._pool) or self._busy(self._pool)):
-                    await self._wanted.wait()
-                self._wanted.set()
+                if not (self._keep_open(self._pool) or self._has_tasks(self._pool)):
+                    await self._wake.wait()
+                self._wake.set()
                 await self._connect_once()
-                await self._clock.sleep(self._timing.reconnect)
+                await self._clock.sleep(self._timing.reconnect_delay)
 
     async def _connect_once(self) -> None:
         owner = self._owned.owner
         try:
             stream = await self._opener.open(owner.address, owner.port)
         except NobodyListensError:
-            self._lose("nobody listens", OwnerState.GONE)
+            self._mark_unreachable("nobody listens", OwnerState.GONE)
             self._return_unsent()
             return
         except StreamClosedError:
             self._return_unsent()
             return
-        self._named = True
-        pipe = self._pipe = Pipe(stream, self._timing.owner_silence, self._take)
+        self._is_successor = True
+        pipe = self._pipe = Pipe(
+            stream, self._timing.owner_silence_timeout, self._handle_message
+        )
         reason = "stopped"
         pipe.tell(
             Hello(
@@ -179,10 +181,12 @@
                 power=self._identity.power,
             )
         )
-        early = self.take_early()
-        for request in early:
+        requests = self.take_queued_requests()
+        for request in requests:
             pipe.tell(request)
-        self._sent_early = {task for request in early for task in _tasks_of(request)}
+        self._tasks_sent_early = {
+            task for request in requests for task in _tasks_of(request)
+        }
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._ping, pipe, group.cancel_scope)
@@ -190,15 +194,15 @@
                 group.cancel_scope.cancel()
         finally:
             self._pipe = None
-            if self._idle:
-                self._rest()
+            if self._closed_as_idle:
+                self._reset_after_idle()
             else:
-                self._lose(reason, OwnerState.LOST)
+                self._mark_unreachable(reason, OwnerState.LOST)
 
-    def take_early(self) -> list[RunTasks]:
+    def take_queued_requests(self) -> list[RunTasks]:
         """Return the requests that wait for the link, and forget them."""
-        early, self._early = self._early, []
-        return early
+        requests, self._queued = self._queued, []
+        return requests
 
     def _return_unsent(self) -> None:
         """Return requests that never left this host, as their pool is unreachable.
@@ -208,33 +212,40 @@
         owner may be one that has just died, and a successor about to take over.
         """
         self._failed_at = self._clock.monotonic()
-        if self._early and self._failed_at - self._asked_at < EARLY_TIMEOUT:
+        if (
+            self._queued
+            and self._failed_at - self._last_request_at < QUEUED_REQUEST_TIMEOUT
+        ):
             return
-        for request in self.take_early():
+        for request in self.take_queued_requests():
             returned = TasksReturned(
                 batch=request.batch,
                 step=request.step,
                 indices=request.indices,
                 begun=request.begun,
             )
-            self._take_message(self._pool, returned)
-        if not self._keep(self._pool):
-            self._wanted = anyio.Event()
+            self._on_message(self._pool, returned)
+        if not self._keep_open(self._pool):
+            self._wake = anyio.Event()
 
-    def _rest(self) -> None:
+    def _reset_after_idle(self) -> None:
         """Record that the link is closed since nobody needs it."""
-        self._idle = False
+        self._closed_as_idle = False
         self._pool_state = None
         self._owner_state = OwnerState.EXPECTED
-        self._wanted = anyio.Event()
+        self._wake = anyio.Event()
 
     async def _ping(self, pipe: Pipe, scope: anyio.CancelScope) -> None:
         while True:
-            often = self._named or self._busy(self._pool)
+            frequent = self._is_successor or self._has_tasks(self._pool)
             timing = self._timing
-            await self._clock.sleep(timing.ping if often else timing.slow_ping)
+            await self._clock.sleep(
+                timing.heartbeat_interval
+                if frequent
+                else timing.slow_heartbeat_interval
+            )
             if self._is_idle():
-                self._idle = True
+                self._closed_as_idle = True
                 scope.cancel()
             pipe.tell(
                 Ping(
@@ -244,46 +255,48 @@
             )
 
     def _is_idle(self) -> bool:
-        if self._keep(self._pool) or self._busy(self._pool):
+        if self._keep_open(self._pool) or self._has_tasks(self._pool):
             return False
-        return self._clock.monotonic() - self._asked_at >= IDLE_TIME
+        return self._clock.monotonic() - self._last_request_at >= IDLE_TIMEOUT
 
-    def _take(self, message: PoolMessage) -> None:
+    def _handle_message(self, message: PoolMessage) -> None:
         if isinstance(message, PoolState):
-            self._see(message)
+            self._update_state(message)
         elif isinstance(message, Successors) and self._pipe is not None:
-            self._named = self._identity.host in message.hosts
+            self._is_successor = self._identity.host in message.hosts
             timing = self._timing
             self._pipe.allow_silence(
-                timing.owner_silence if self._named else timing.slow_owner_silence
+                timing.owner_silence_timeout
+                if self._is_successor
+                else timing.slow_owner_silence_timeout
             )
-        self._take_message(self._pool, message)
+        self._on_message(self._pool, message)
 
-    def _see(self, pool_state: PoolState) -> None:
+    def _update_state(self, pool_state: PoolState) -> None:
         if pool_state.pool == self._pool and pool_state.token >= self._owned.token:
             was_up = self._pool_state is not None
             self._pool_state = pool_state
-            resigns = pool_state.resigning
-            self._set_owner_state(OwnerState.RESIGNING if resigns else OwnerState.UP)
+            resigning = pool_state.resigning
+            self._set_owner_state(OwnerState.RESIGNING if resigning else OwnerState.UP)
             if not was_up:
                 self._events.link_up(self._pool, self._owned.owner.host)
                 self._failed_at = None
                 # Requests that opened the link were sent on it, and the owner may have
                 # returned their tasks for another pool by now. Claimed as well, they
                 # would be queued here and could run twice.
-                self._up(self._pool, frozenset(self._sent_early))
-                self._sent_early.clear()
+                self._on_reachable(self._pool, frozenset(self._tasks_sent_early))
+                self._tasks_sent_early.clear()
         elif pool_state.incarnation != self._owned.owner.incarnation:
-            self._lose("another process runs there", OwnerState.GONE)
+            self._mark_unreachable("another process runs there", OwnerState.GONE)
         elif self._owner_state is not OwnerState.EXPECTED:
-            self._lose("not the owner", OwnerState.GONE)
+            self._mark_unreachable("not the owner", OwnerState.GONE)
 
     def _set_owner_state(self, owner_state: OwnerState) -> None:
         if owner_state is not self._owner_state:
             self._owner_state = owner_state
-            self._changed()
+            self._on_change()
 
-    def _lose(self, reason: str, new: OwnerState) -> None:
+    def _mark_unreachable(self, reason: str, new: OwnerState) -> None:
         if self._owner_state is not OwnerState.EXPECTED or new is OwnerState.GONE:
             self._set_owner_state(new)
         if self._pool_state is not None:
--- a/src/brasstray/host/requester_link.py
+++ b/src/brasstray/host/requester_link.py
@@ -30,17 +30,17 @@
         clock: Clock,
         timing: HostTiming,
         state: Callable[[], PoolState],
-        take: Callable[[RequesterLink, PoolMessage], None],
+        on_message: Callable[[RequesterLink, PoolMessage], None],
     ) -> None:
         self._clock = clock
         self._timing = timing
         self._state = state
-        self._take = take
-        self._pipe = Pipe(stream, timing.pool.requester_silence, self._take_message)
+        self._on_message = on_message
+        self._pipe = Pipe(stream, timing.pool.requester_silence, self._handle_message)
         self._name = "unknown"
         self._data_centre: DataCentreName | None = None
         self._power = 0.0
-        self._beat = timing.ping
+        self._state_interval = timing.heartbeat_interval
 
     @property
     def name(self) -> str:
@@ -57,15 +57,19 @@
         """Return how strong the host is; 0 until it has said who it is."""
         return self._power
 
-    def introduce(self, hello: Hello) -> None:
+    def record_hello(self, hello: Hello) -> None:
         """Record who is at the other end."""
         self._name = str(hello.host)
         self._power = hello.power
         self._data_centre = data_centre_of(hello.incarnation)
 
-    def watch_closely(self, closely: bool) -> None:
+    def set_heartbeat_rate(self, frequent: bool) -> None:
         """Tell the host often, or seldom, that this one lives."""
-        self._beat = self._timing.ping if closely else self._timing.slow_ping
+        self._state_interval = (
+            self._timing.heartbeat_interval
+            if frequent
+            else self._timing.slow_heartbeat_interval
+        )
 
     def tell(self, message: PoolMessage) -> None:
         """Send `message`, if the host is reachable."""
@@ -75,25 +79,25 @@
         """Send `message` with the next one, at the latest with the next state."""
         self._pipe.tell_later(message)
 
-    def tell_state(self) -> None:
+    def send_state(self) -> None:
         """Tell what this host owns now."""
         self._pipe.tell(self._state())
 
-    def _take_message(self, message: PoolMessage) -> None:
-        self._take(self, message)
+    def _handle_message(self, message: PoolMessage) -> None:
+        self._on_message(self, message)
 
     async def run(self) -> str:
         """Serve until the connection ends; return why it did."""
         async with anyio.create_task_group() as group:
-            group.start_soon(self._tell_states)
+            group.start_soon(self._send_states)
             reason = await self._pipe.run()
             group.cancel_scope.cancel()
         return reason
 
-    async def _tell_states(self) -> None:
+    async def _send_states(self) -> None:
         while True:
-            self.tell_state()
-            await self._clock.sleep(self._beat)
+            self.send_state()
+            await self._clock.sleep(self._state_interval)
 
 
 __all__ = ["RequesterLink"]
--- a/src/brasstray/host/requester_links.py
+++ b/src/brasstray/host/requester_links.py
@@ -29,7 +29,7 @@
     @property
     def powers(self) -> dict[HostName, float]:
         """Return how strong the hosts are that could take the pool over."""
-        return {HostName(link.name): link.power for link in self._own_centre()}
+        return {HostName(link.name): link.power for link in self._local_links()}
 
     def add(self, link: RequesterLink) -> None:
         """Hold `link`."""
@@ -39,25 +39,25 @@
         """Hold `link` no more."""
         self._links.discard(link)
 
-    def tell_state(self, wanted: Callable[[str], bool] = lambda _: True) -> None:
+    def send_state(self, include: Callable[[str], bool] = lambda _: True) -> None:
         """Tell what this host owns to each host whose name is `wanted`."""
         for link in self._links:
-            if wanted(link.name):
-                link.tell_state()
+            if include(link.name):
+                link.send_state()
 
     def tell_own_centre(self, message: PoolMessage) -> None:
         """Send `message` to the hosts of the own data centre."""
-        for link in self._own_centre():
+        for link in self._local_links():
             link.tell(message)
 
-    def name_successors(self) -> None:
+    def announce_successors(self) -> None:
         """Tell the hosts of the own data centre who takes the pool next."""
         message = Successors(hosts=rank_successors(self.powers))
         self.tell_own_centre(message)
-        for link in self._own_centre():
-            link.watch_closely(link.name in message.hosts)
+        for link in self._local_links():
+            link.set_heartbeat_rate(link.name in message.hosts)
 
-    def _own_centre(self) -> list[RequesterLink]:
+    def _local_links(self) -> list[RequesterLink]:
         return [link for link in self._links if link.data_centre == self._data_centre]
 
 
--- a/src/brasstray/host/suspension_detector.py
+++ b/src/brasstray/host/suspension_detector.py
@@ -28,31 +28,31 @@
         uptime: Callable[[], timedelta],
         timing: HostTiming,
         events: HostEvents,
-        at_work: Callable[[], bool],
-        distrust: Callable[[], None],
+        is_active: Callable[[], bool],
+        on_suspended: Callable[[], None],
     ) -> None:
         self._clock = clock
         self._uptime = uptime
         self._timing = timing
         self._events = events
-        self._at_work = at_work
-        self._distrust = distrust
+        self._is_active = is_active
+        self._on_suspended = on_suspended
 
     async def run(self) -> None:
         """Watch until cancelled."""
         last = self._uptime()
         while True:
             timing = self._timing
-            pause = timing.tick if self._at_work() else timing.calm_tick
+            pause = timing.tick if self._is_active() else timing.idle_tick
             await self._clock.sleep(pause)
             now = self._uptime()
-            stood = now - last
+            elapsed = now - last
             last = now
-            if stood - pause >= timing.late:
-                self._events.loop_late((stood - pause) // _MILLISECOND)
-            if stood >= timing.freeze:
-                self._events.suspended(stood // _MILLISECOND)
-                self._distrust()
+            if elapsed - pause >= timing.late_threshold:
+                self._events.loop_late((elapsed - pause) // _MILLISECOND)
+            if elapsed >= timing.suspension_threshold:
+                self._events.suspended(elapsed // _MILLISECOND)
+                self._on_suspended()
 
 
 __all__ = ["SuspensionDetector"]
--- a/tests/host/test_links.py
+++ b/tests/host/test_links.py
@@ -9,7 +9,7 @@
 from tests.host.load import under_load
 
 from brasstray.batch.outcome import BatchOutcome
-from brasstray.host.pool_link import IDLE_TIME
+from brasstray.host.pool_link import IDLE_TIMEOUT
 from brasstray_standins.leased_minion import Work
 from brasstray_standins.pool_system import USUAL_NEEDS, PoolSystemSize, usual_batch
 
@@ -72,7 +72,7 @@
             await system.clock.sleep(SECOND / 20)
             loaded = links_of(system)
         before_idle = links_of(system)
-        await system.clock.sleep(IDLE_TIME + SECOND)
+        await system.clock.sleep(IDLE_TIMEOUT + SECOND)
         return loaded - calm, before_idle - calm, links_of(system) - calm
 
     found, system = play_pools(story, size)
