--- a/src/brasstray/coordinator/active_batch.py
+++ b/src/brasstray/coordinator/active_batch.py
@@ -40,7 +40,7 @@
     ended: anyio.Event = field(default_factory=anyio.Event)
     result: BatchResult | None = None
 
-    def at(self, pool: PoolId) -> dict[int, list[int]]:
+    def indices_at(self, pool: PoolId) -> dict[int, list[int]]:
         """Return the indices of the tasks at `pool`, by step."""
         found: dict[int, list[int]] = {}
         for (step, index), where in self.placed.items():
--- a/src/brasstray/coordinator/coordinator.py
+++ b/src/brasstray/coordinator/coordinator.py
@@ -30,7 +30,7 @@
 
 _MILLISECOND = timedelta(milliseconds=1)
 # A late answer is of some use to the users until three times the objective has passed.
-USEFUL_OBJECTIVES = 3
+USEFUL_OBJECTIVE_FACTOR = 3
 
 
 class Coordinator:
@@ -50,8 +50,8 @@
         self._timing = timing
         self._events = events
         self._active: dict[BatchId, ActiveBatch] = {}
-        self._lost_since: dict[PoolId, timedelta] = {}
-        self._begun = anyio.Event()
+        self._unreachable_since: dict[PoolId, timedelta] = {}
+        self._job_added = anyio.Event()
 
     @property
     def active(self) -> int:
@@ -76,12 +76,12 @@
         """
         active = self._active.get(batch.id)
         if active is None:
-            active = self._begin(batch, queue, timeout)
+            active = self._add_job(batch, queue, timeout)
             await self._send_first(active)
         active.waiters += 1
-        left = active.limit - self._clock.monotonic()
+        remaining = active.limit - self._clock.monotonic()
         try:
-            with anyio.move_on_after(max(0.0, left.total_seconds())):
+            with anyio.move_on_after(max(0.0, remaining.total_seconds())):
                 await active.ended.wait()
             if active.result is None:
                 result = BatchResult(BatchOutcome.UNKNOWN, GiveUpReason.TOO_LATE)
@@ -94,31 +94,31 @@
         assert active.result is not None
         return active.result
 
-    def _begin(self, batch: Batch, queue: Queue, timeout: timedelta) -> ActiveBatch:
+    def _add_job(self, batch: Batch, queue: Queue, timeout: timedelta) -> ActiveBatch:
         now = self._clock.monotonic()
-        objective = chain_of(batch) * queue.stretch + queue.slack
+        objective = critical_path(batch) * queue.stretch + queue.slack
         active = ActiveBatch(
             batch,
             queue,
             now,
             now + objective,
-            now + objective * USEFUL_OBJECTIVES,
+            now + objective * USEFUL_OBJECTIVE_FACTOR,
             now + timeout,
             steps_left={n: step.count for n, step in enumerate(batch.steps)},
         )
         self._active[batch.id] = active
-        self._begun.set()
+        self._job_added.set()
         return active
 
     async def _send_first(self, active: ActiveBatch) -> None:
         if self._pools.all_evacuated():
             self._refuse_evacuated(active)
             return
-        pool = self._choose(active.batch.id)
+        pool = self._choose_pool(active.batch.id)
         deadline = self._clock.monotonic() + self._timing.pool_timeout
         while pool is None and self._clock.monotonic() < deadline:
             await self._clock.sleep(self._timing.tick / 5)
-            pool = self._choose(active.batch.id)
+            pool = self._choose_pool(active.batch.id)
         if pool is None:
             refusal = BatchResult(
                 BatchOutcome.NOT_RUN, GiveUpReason.NO_POOL, self._timing.retry_after
@@ -127,14 +127,14 @@
             return
         self._send_ready_steps(active, pool)
 
-    def _choose(self, batch: BatchId) -> PoolId | None:
+    def _choose_pool(self, batch: BatchId) -> PoolId | None:
         reachable = self._pools.reachable()
         if self._home in reachable:
             # Also while it is evacuated: its owner learns first where slots are free.
             return self._home
-        return self._choose_open(batch, reachable)
+        return self._choose_available_pool(batch, reachable)
 
-    def _choose_open(
+    def _choose_available_pool(
         self, batch: BatchId, pools: dict[PoolId, PoolLoad]
     ) -> PoolId | None:
         """Return the best of `pools` that is not evacuated, or one not asked yet."""
@@ -151,33 +151,33 @@
         return unasked[crc32(batch.encode()) % len(unasked)] if unasked else None
 
     def _send_ready_steps(self, active: ActiveBatch, pool: PoolId) -> None:
-        for number, step in enumerate(active.batch.steps):
-            if number in active.steps_sent or any(
-                active.steps_left.get(before) for before in step.after
+        for step_number, step in enumerate(active.batch.steps):
+            if step_number in active.steps_sent or any(
+                active.steps_left.get(dependency) for dependency in step.after
             ):
                 continue
-            active.steps_sent.add(number)
-            self._send(active, number, range(step.count), pool)
+            active.steps_sent.add(step_number)
+            self._send(active, step_number, range(step.count), pool)
 
     def _send(
         self,
         active: ActiveBatch,
-        number: int,
+        step_number: int,
         indices: Iterable[int],
         pool: PoolId,
         *,
         forwarded: bool = False,
         claimed: bool = False,
     ) -> None:
-        step, queue = active.batch.steps[number], active.queue
+        step, queue = active.batch.steps[step_number], active.queue
         now = self._clock.monotonic()
-        chosen = tuple(indices)
-        for index in chosen:
-            active.placed[number, index] = pool
+        sent_indices = tuple(indices)
+        for index in sent_indices:
+            active.placed[step_number, index] = pool
         message = RunTasks(
             batch=active.batch.id,
-            step=number,
-            indices=chosen,
+            step=step_number,
+            indices=sent_indices,
             width=step.count,
             queue=queue.name,
             service=queue.service,
@@ -202,7 +202,7 @@
 
     # What owners tell
 
-    def take_ended(self, pool: PoolId, message: TasksEnded) -> None:
+    def handle_tasks_ended(self, pool: PoolId, message: TasksEnded) -> None:
         """Take the ends of tasks."""
         active = self._active.get(message.batch)
         if active is None:
@@ -218,9 +218,9 @@
         if not any(active.steps_left.values()):
             self._end(active, BatchResult(BatchOutcome.SUCCEEDED))
         elif not active.steps_left[message.step]:
-            self._send_ready_steps(active, self._choose(message.batch) or pool)
+            self._send_ready_steps(active, self._choose_pool(message.batch) or pool)
 
-    def take_returned(self, pool: PoolId, message: TasksReturned) -> None:
+    def handle_tasks_returned(self, pool: PoolId, message: TasksReturned) -> None:
         """Take tasks back from `pool`, which has not started them."""
         active = self._active.get(message.batch)
         if active is None:
@@ -238,7 +238,7 @@
         elif message.evacuated:
             self._evacuate(active, message.step, indices, message.pool)
         elif message.pool is None:
-            self._refuse(active, len(indices), message.wait_ms)
+            self._refuse_overloaded(active, len(indices), message.wait_ms)
         else:
             target = message.pool if self._is_known(message.pool) else pool
             self._events.moved(active, len(indices), target)
@@ -250,7 +250,7 @@
     def _evacuate(
         self,
         active: ActiveBatch,
-        number: int,
+        step_number: int,
         indices: list[int],
         proposed: PoolId | None,
     ) -> None:
@@ -263,22 +263,24 @@
         target = proposed
         pools = self._pools
         if target is None or not self._is_known(target) or pools.is_evacuated(target):
-            target = self._choose_open(active.batch.id, pools.reachable())
+            target = self._choose_available_pool(active.batch.id, pools.reachable())
         if target is None:
             self._refuse_evacuated(active, len(indices))
             return
         self._events.moved(active, len(indices), target)
-        self._send(active, number, indices, target)
+        self._send(active, step_number, indices, target)
 
-    def _refuse(self, active: ActiveBatch, returned: int, wait_ms: int) -> None:
+    def _refuse_overloaded(
+        self, active: ActiveBatch, returned: int, wait_ms: int
+    ) -> None:
         wait = max(self._timing.retry_after, wait_ms * _MILLISECOND)
-        self._give_up(active, returned, GiveUpReason.OVERLOADED, wait)
+        self._end_unfinished(active, returned, GiveUpReason.OVERLOADED, wait)
 
     def _refuse_evacuated(self, active: ActiveBatch, returned: int = 0) -> None:
         wait = self._timing.evacuated_retry_after
-        self._give_up(active, returned, GiveUpReason.EVACUATED, wait)
+        self._end_unfinished(active, returned, GiveUpReason.EVACUATED, wait)
 
-    def _give_up(
+    def _end_unfinished(
         self,
         active: ActiveBatch,
         returned: int,
@@ -286,8 +288,8 @@
         wait: timedelta,
     ) -> None:
         """End a job of which `returned` tasks, and maybe more, cannot be run."""
-        whole = len(active.placed) == returned and not active.begun
-        outcome = BatchOutcome.NOT_RUN if whole else BatchOutcome.UNKNOWN
+        nothing_started = len(active.placed) == returned and not active.begun
+        outcome = BatchOutcome.NOT_RUN if nothing_started else BatchOutcome.UNKNOWN
         self._end(active, BatchResult(outcome, reason, wait))
 
     def claim(self, pool: PoolId, sent: frozenset[TaskName] = frozenset()) -> None:
@@ -295,16 +297,18 @@
 
         Those in `sent` were asked for on that link already.
         """
-        self._lost_since.pop(pool, None)
+        self._unreachable_since.pop(pool, None)
         for active in list(self._active.values()):
             batch = active.batch.id
-            for number, placed in active.at(pool).items():
-                indices = [i for i in placed if TaskName(batch, number, i) not in sent]
+            for step_number, placed in active.indices_at(pool).items():
+                indices = [
+                    i for i in placed if TaskName(batch, step_number, i) not in sent
+                ]
                 if not indices:
                     continue
                 active.begun = True
                 self._events.claimed(active, len(indices), pool)
-                self._send(active, number, indices, pool, claimed=True)
+                self._send(active, step_number, indices, pool, claimed=True)
 
     def has_tasks_at(self, pool: PoolId) -> bool:
         """Return whether a task that has not ended was last asked for at `pool`."""
@@ -319,17 +323,17 @@
         self._end(active, cancelled)
         return True
 
-    async def watch(self) -> None:
+    async def watch_unreachable(self) -> None:
         """Give up jobs whose tasks are at pools that stay unreachable."""
         while True:
             if not self._active:
-                self._lost_since.clear()
-                self._begun = anyio.Event()
-                await self._begun.wait()
+                self._unreachable_since.clear()
+                self._job_added = anyio.Event()
+                await self._job_added.wait()
             await self._clock.sleep(self._timing.tick)
-            self.give_up_lost(self._clock.monotonic())
+            self.end_unreachable(self._clock.monotonic())
 
-    def give_up_lost(self, now: timedelta) -> None:
+    def end_unreachable(self, now: timedelta) -> None:
         """Give up jobs with tasks at unreachable pools for too long.
 
         The tasks may go on there for a while, so they are not run elsewhere and the
@@ -340,9 +344,9 @@
         for active in list(self._active.values()):
             for pool in set(active.placed.values()):
                 if pool in reachable:
-                    self._lost_since.pop(pool, None)
+                    self._unreachable_since.pop(pool, None)
                     continue
-                since = self._lost_since.setdefault(pool, now)
+                since = self._unreachable_since.setdefault(pool, now)
                 if now - since >= self._timing.lost_pool_timeout:
                     lost = BatchResult(BatchOutcome.UNKNOWN, GiveUpReason.POOL_LOST)
                     self._end(active, lost)
@@ -365,13 +369,13 @@
         active.ended.set()
 
 
-def chain_of(batch: Batch) -> timedelta:
+def critical_path(batch: Batch) -> timedelta:
     """Return the longest chain of estimates through the steps of `batch`."""
-    chains: list[timedelta] = []
+    path_lengths: list[timedelta] = []
     for step in batch.steps:
-        before = max((chains[n] for n in step.after), default=timedelta(0))
-        chains.append(before + step.estimate)
-    return max(chains, default=timedelta(0))
+        start = max((path_lengths[n] for n in step.after), default=timedelta(0))
+        path_lengths.append(start + step.estimate)
+    return max(path_lengths, default=timedelta(0))
 
 
-__all__ = ["Coordinator", "chain_of"]
+__all__ = ["Coordinator", "critical_path"]
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -10,7 +10,7 @@
 
 from brasstray.batch.ids import NO_TOKEN, PoolId
 from brasstray.batch.outcome import BatchOutcome, BatchResult, GiveUpReason
-from brasstray.coordinator.coordinator import Coordinator, chain_of
+from brasstray.coordinator.coordinator import Coordinator, critical_path
 from brasstray.host.load_notifier import LoadNotifier
 from brasstray.host.local_requester import LocalRequester
 from brasstray.host.minion_feed import MinionFeed
@@ -224,7 +224,7 @@
             group.start_soon(self._follow_evacuations)
             group.start_soon(self._ownership.follow)
             group.start_soon(self._ownership.claim_when_vacant)
-            group.start_soon(self._coordinator.watch)
+            group.start_soon(self._coordinator.watch_unreachable)
             group.start_soon(self._suspension_detector.run)
             group.start_soon(self._load_notifier.run)
             group.start_soon(self._handover.watch, self._may_hand_over)
@@ -279,7 +279,7 @@
         """
         if self._drain_deadline is not None:
             left = self._drain_deadline - self._clock.monotonic()
-            if chain_of(batch) >= left:
+            if critical_path(batch) >= left:
                 self._events.request_refused(
                     batch.id, GiveUpReason.STOPPING, f"{left // _MILLISECOND} ms left"
                 )
@@ -425,9 +425,9 @@
         """Take what the owner of `pool` tells."""
         match message:
             case TasksEnded():
-                self._coordinator.take_ended(pool, message)
+                self._coordinator.handle_tasks_ended(pool, message)
             case TasksReturned():
-                self._coordinator.take_returned(pool, message)
+                self._coordinator.handle_tasks_returned(pool, message)
             case PoolState():
                 self._directory.reset_reserved_slots(pool)
                 if message.free_slots and self._owner is not None:
--- a/tests/coordinator/test_coordinator.py
+++ b/tests/coordinator/test_coordinator.py
@@ -15,7 +15,7 @@
 from brasstray.batch.resources import Resources
 from brasstray.batch.step import Step
 from brasstray.clock.loop import LoopClock
-from brasstray.coordinator.coordinator import Coordinator, chain_of
+from brasstray.coordinator.coordinator import Coordinator, critical_path
 from brasstray.coordinator.timing import CoordinatorTiming
 from brasstray.peer.message.run_tasks import RunTasks
 from brasstray.peer.message.stop_tasks import StopTasks
@@ -26,7 +26,7 @@
 
 HOME, AWAY = PoolId("home"), PoolId("away")
 JOB = BatchId("a" * 16)
-PATIENCE = timedelta(seconds=2)
+CALLER_TIMEOUT = timedelta(seconds=2)
 
 
 @dataclass
@@ -59,7 +59,7 @@
         return [p for p, m in self.told if isinstance(m, StopTasks)]
 
 
-class Silent:
+class NullEvents:
     def __getattr__(self, name):
         return lambda *_, **__: None
 
@@ -67,24 +67,24 @@
 def with_coordinator(steps, batch=None, loads=None):
     """Return the result of a job while `steps` plays what the pools tell."""
 
-    async def whole():
+    async def main():
         pools = FakePools()
         if loads is not None:
             pools.loads = loads
         coordinator = Coordinator(
-            HOME, pools, LoopClock(), CoordinatorTiming(), Silent()
+            HOME, pools, LoopClock(), CoordinatorTiming(), NullEvents()
         )
         results = []
 
         async def run():
             found = await coordinator.run(
-                batch or usual_batch(JOB, 2), usual_queue(), PATIENCE
+                batch or usual_batch(JOB, 2), usual_queue(), CALLER_TIMEOUT
             )
             results.append((found, anyio.current_time() - began))
 
         began = anyio.current_time()
         async with anyio.create_task_group() as group:
-            group.start_soon(coordinator.watch)
+            group.start_soon(coordinator.watch_unreachable)
             group.start_soon(run)
             await anyio.sleep(0.01)
             outcome = steps(coordinator, pools)
@@ -95,7 +95,7 @@
             group.cancel_scope.cancel()
         return results[0][0], results[0][1], pools
 
-    return run_virtual(whole)
+    return run_virtual(main)
 
 
 def ended(*done, failed=(), step=0):
@@ -108,8 +108,8 @@
 
 def test_a_job_succeeds_once_all_tasks_are_done():
     def steps(coordinator, pools):
-        coordinator.take_ended(HOME, ended(0))
-        coordinator.take_ended(HOME, ended(1))
+        coordinator.handle_tasks_ended(HOME, ended(0))
+        coordinator.handle_tasks_ended(HOME, ended(1))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.SUCCEEDED
@@ -119,7 +119,7 @@
 
 def test_a_failed_task_ends_the_job_and_stops_the_others():
     def steps(coordinator, pools):
-        coordinator.take_ended(HOME, ended(failed=(0,)))
+        coordinator.handle_tasks_ended(HOME, ended(failed=(0,)))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.FAILED
@@ -145,9 +145,9 @@
     def steps(coordinator, pools):
         for message in told:
             if isinstance(message, TasksEnded):
-                coordinator.take_ended(HOME, message)
+                coordinator.handle_tasks_ended(HOME, message)
             else:
-                coordinator.take_returned(HOME, message)
+                coordinator.handle_tasks_returned(HOME, message)
 
     result, _, _ = with_coordinator(steps)
     assert result.outcome is outcome
@@ -158,8 +158,8 @@
     # goes to another pool, which is full and gives it back. The caller is told that
     # nothing ran, though a run had begun: she would submit it as new elsewhere.
     def steps(coordinator, pools):
-        coordinator.take_returned(HOME, returned(0, 1, pool=AWAY, begun=True))
-        coordinator.take_returned(AWAY, returned(0, 1, wait_ms=900))
+        coordinator.handle_tasks_returned(HOME, returned(0, 1, pool=AWAY, begun=True))
+        coordinator.handle_tasks_returned(AWAY, returned(0, 1, wait_ms=900))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.UNKNOWN
@@ -171,7 +171,7 @@
     # and gives them back. The dead owner may have started them.
     def steps(coordinator, pools):
         coordinator.claim(HOME)
-        coordinator.take_returned(HOME, returned(0, 1, wait_ms=900))
+        coordinator.handle_tasks_returned(HOME, returned(0, 1, wait_ms=900))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.UNKNOWN
@@ -180,9 +180,9 @@
 
 def test_returned_tasks_go_to_the_pool_that_has_room():
     def steps(coordinator, pools):
-        coordinator.take_returned(HOME, returned(1, pool=AWAY))
-        coordinator.take_ended(HOME, ended(0))
-        coordinator.take_ended(AWAY, ended(1))
+        coordinator.handle_tasks_returned(HOME, returned(1, pool=AWAY))
+        coordinator.handle_tasks_ended(HOME, ended(0))
+        coordinator.handle_tasks_ended(AWAY, ended(1))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.SUCCEEDED
@@ -224,15 +224,15 @@
     )
 
     def steps(coordinator, pools):
-        coordinator.take_ended(HOME, ended(0))
+        coordinator.handle_tasks_ended(HOME, ended(0))
         assert [m.step for _, m in pools.runs()] == [0]
-        coordinator.take_ended(HOME, ended(1))
+        coordinator.handle_tasks_ended(HOME, ended(1))
         assert [m.step for _, m in pools.runs()] == [0, 1]
-        coordinator.take_ended(HOME, ended(0, step=1))
+        coordinator.handle_tasks_ended(HOME, ended(0, step=1))
 
     result, _, _ = with_coordinator(steps, batch)
     assert result.outcome is BatchOutcome.SUCCEEDED
-    assert chain_of(batch) == timedelta(milliseconds=120)
+    assert critical_path(batch) == timedelta(milliseconds=120)
 
 
 def test_the_deadline_ends_a_job_whose_tasks_do_not():
@@ -249,10 +249,10 @@
 
 def test_tasks_from_an_evacuated_pool_may_be_passed_on_once_more():
     # The next pool may be full by the time they come, while a third has room.
-    def story(coordinator, pools):
-        coordinator.take_returned(HOME, returned_evacuated(AWAY))
+    def steps(coordinator, pools):
+        coordinator.handle_tasks_returned(HOME, returned_evacuated(AWAY))
 
-    _, _, pools = with_coordinator(story, usual_batch(JOB, 2))
+    _, _, pools = with_coordinator(steps, usual_batch(JOB, 2))
     assert [(p, m.forwarded) for p, m in pools.runs()] == [(HOME, False), (AWAY, False)]
 
 
@@ -260,13 +260,13 @@
     # A job waits in a data centre that is emptied, goes to another one and is sent back
     # from there, as that is emptied too. It must not go to and fro until its caller
     # leaves: nothing of it has run, and she is told when to come back.
-    def story(coordinator, pools):
+    def steps(coordinator, pools):
         pools.evacuated.add(HOME)
-        coordinator.take_returned(HOME, returned_evacuated(AWAY))
+        coordinator.handle_tasks_returned(HOME, returned_evacuated(AWAY))
         pools.evacuated.add(AWAY)
-        coordinator.take_returned(AWAY, returned_evacuated(HOME))
+        coordinator.handle_tasks_returned(AWAY, returned_evacuated(HOME))
 
-    result, took, pools = with_coordinator(story, usual_batch(JOB, 2))
+    result, took, pools = with_coordinator(steps, usual_batch(JOB, 2))
     assert (result.outcome, result.reason) == (
         BatchOutcome.NOT_RUN,
         GiveUpReason.EVACUATED,
@@ -278,9 +278,11 @@
 
 def test_a_job_goes_where_its_host_knows_an_owner():
     # The owner that gives it back names a pool that this host has not heard of yet.
-    def story(coordinator, pools):
+    def steps(coordinator, pools):
         pools.evacuated.add(HOME)
-        coordinator.take_returned(HOME, returned_evacuated(PoolId("unheard of")))
+        coordinator.handle_tasks_returned(
+            HOME, returned_evacuated(PoolId("unheard of"))
+        )
 
-    _, _, pools = with_coordinator(story, usual_batch(JOB, 2))
+    _, _, pools = with_coordinator(steps, usual_batch(JOB, 2))
     assert [pool for pool, _ in pools.runs()] == [HOME, AWAY]
