--- a/src/brasstray/coordinator/__init__.py
+++ b/src/brasstray/coordinator/__init__.py
@@ -1,1 +1,1 @@
-"""See jobs through from their arrival to their answer."""
+"""Coordinate jobs from submission to result."""
--- a/src/brasstray/coordinator/active_batch.py
+++ b/src/brasstray/coordinator/active_batch.py
@@ -1,4 +1,4 @@
-"""Hold one job that is at work."""
+"""Hold the state of one active job."""
 
 from __future__ import annotations
 
@@ -18,11 +18,14 @@
 
 @dataclass(eq=False)
 class ActiveBatch:
-    """Hold where each task that has not ended is, and the result once there is one.
+    """Hold the placement of each unfinished task, and the result once there is one.
 
+    `due` is the deadline that the queue's objective sets, `useful` is when an answer
+    loses its value to the users, and `limit` is when the caller stops waiting.
     `placed` maps step and index to the pool that was last asked to run the task.
-    `begun` tells whether a task may have been sent to a minion, which a refusal must
-    know. `waiters` counts the callers that wait; the same job may have been sent twice.
+    `begun` tells whether a task may have been sent to a minion: only a job that has
+    not begun can be reported as not run.
+    `waiters` counts the callers that wait; the same job may have been submitted twice.
     """
 
     batch: Batch
@@ -41,7 +44,7 @@
     result: BatchResult | None = None
 
     def indices_at(self, pool: PoolId) -> dict[int, list[int]]:
-        """Return the indices of the tasks at `pool`, by step."""
+        """Return the indices of the unfinished tasks placed at `pool`, by step."""
         found: dict[int, list[int]] = {}
         for (step, index), where in self.placed.items():
             if where == pool:
--- a/src/brasstray/coordinator/coordinator.py
+++ b/src/brasstray/coordinator/coordinator.py
@@ -1,4 +1,4 @@
-"""See each job through: ask pools to run its tasks and gather how they end."""
+"""Coordinate jobs: request their tasks from pools and collect the results."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     from brasstray.pool.pool_load import PoolLoad
 
 _MILLISECOND = timedelta(milliseconds=1)
-# A late answer is of some use to the users until three times the objective has passed.
+# An answer that misses its objective is useful up to three times the objective.
 USEFUL_OBJECTIVE_FACTOR = 3
 
 
 class Coordinator:
-    """Hold the jobs that callers of this host wait for."""
+    """Run the jobs that callers submit to this host."""
 
     def __init__(
         self,
@@ -55,24 +55,25 @@
 
     @property
     def active(self) -> int:
-        """Return how many jobs are at work."""
+        """Return the number of active jobs."""
         return len(self._active)
 
     def pending(self, queue: str) -> int:
-        """Return how many jobs of `queue` have no task done yet."""
+        """Return the number of active jobs of `queue` without a completed task."""
         return sum(
             active.queue.name == queue and not active.any_done
             for active in self._active.values()
         )
 
     def knows(self, batch: BatchId) -> bool:
-        """Return whether the job is at work here."""
+        """Return whether the job is active here."""
         return batch in self._active
 
     async def run(self, batch: Batch, queue: Queue, timeout: timedelta) -> BatchResult:
-        """Return the result of `batch`, whose caller waits for `timeout`.
+        """Run `batch` and return its result, at the latest after `timeout`.
 
-        If the caller's wait is cancelled and nobody else waits, its runs are stopped.
+        If the call is cancelled and no other caller waits for the same job, the runs of
+        the job are stopped.
         """
         active = self._active.get(batch.id)
         if active is None:
@@ -130,14 +131,18 @@
     def _choose_pool(self, batch: BatchId) -> PoolId | None:
         reachable = self._pools.reachable()
         if self._home in reachable:
-            # Also while it is evacuated: its owner learns first where slots are free.
+            # Preferred even if it is evacuated: its owner is the first to learn which
+            # other pool has free slots.
             return self._home
         return self._choose_available_pool(batch, reachable)
 
     def _choose_available_pool(
         self, batch: BatchId, pools: dict[PoolId, PoolLoad]
     ) -> PoolId | None:
-        """Return the best of `pools` that is not evacuated, or one not asked yet."""
+        """Return the best of `pools` that is not evacuated, or else an unlinked pool.
+
+        The best pool has the shortest wait, then the most free slots.
+        """
         evacuated = self._pools.is_evacuated
         reachable = {pool: load for pool, load in pools.items() if not evacuated(pool)}
         if reachable:
@@ -145,8 +150,8 @@
                 reachable,
                 key=lambda pool: (reachable[pool].wait_ms, -reachable[pool].free_slots),
             )
-        # All hosts of a data centre lose their owner together: the job's id spreads
-        # their jobs over the other pools.
+        # All hosts of a data centre lose their owner at the same time. Hashing the id
+        # of the job distributes their jobs over the other pools.
         unasked = sorted(p for p in self._pools.unasked() if not evacuated(p))
         return unasked[crc32(batch.encode()) % len(unasked)] if unasked else None
 
@@ -200,10 +205,10 @@
         )
         self._pools.tell(pool, message)
 
-    # What owners tell
+    # Messages from owners
 
     def handle_tasks_ended(self, pool: PoolId, message: TasksEnded) -> None:
-        """Take the ends of tasks."""
+        """Record tasks that ended; send the steps that became ready, or end the job."""
         active = self._active.get(message.batch)
         if active is None:
             return
@@ -221,7 +226,7 @@
             self._send_ready_steps(active, self._choose_pool(message.batch) or pool)
 
     def handle_tasks_returned(self, pool: PoolId, message: TasksReturned) -> None:
-        """Take tasks back from `pool`, which has not started them."""
+        """Send tasks that `pool` returned unstarted to another pool, or end the job."""
         active = self._active.get(message.batch)
         if active is None:
             return
@@ -254,11 +259,12 @@
         indices: list[int],
         proposed: PoolId | None,
     ) -> None:
-        """Send tasks from an evacuated pool to the one proposed, or to another.
+        """Send tasks from an evacuated pool to the proposed pool, or to another one.
 
-        Guards against tasks that go to and fro between pools that were evacuated one
-        after the other: what this host has heard of is at least as new as what their
-        owners have told it with the tasks. The new pool may pass them on once, as any.
+        The proposed pool is checked against the evacuations known here, which are at
+        least as recent as those the owner knew. Otherwise, tasks could bounce between
+        pools that were evacuated one after the other. The tasks are not marked as
+        forwarded, so the new pool may forward them once.
         """
         target = proposed
         pools = self._pools
@@ -287,15 +293,18 @@
         reason: GiveUpReason,
         wait: timedelta,
     ) -> None:
-        """End a job of which `returned` tasks, and maybe more, cannot be run."""
+        """End a job of which at least `returned` tasks cannot be run.
+
+        The outcome is "not run" only if no task of the job can have started.
+        """
         nothing_started = len(active.placed) == returned and not active.begun
         outcome = BatchOutcome.NOT_RUN if nothing_started else BatchOutcome.UNKNOWN
         self._end(active, BatchResult(outcome, reason, wait))
 
     def claim(self, pool: PoolId, sent: frozenset[TaskName] = frozenset()) -> None:
-        """Ask again for all tasks at `pool`: its owner or the link to it is new.
+        """Request all tasks at `pool` again, as its owner or the link to it is new.
 
-        Those in `sent` were asked for on that link already.
+        Tasks in `sent` were already requested over that link and are left out.
         """
         self._unreachable_since.pop(pool, None)
         for active in list(self._active.values()):
@@ -311,11 +320,11 @@
                 self._send(active, step_number, indices, pool, claimed=True)
 
     def has_tasks_at(self, pool: PoolId) -> bool:
-        """Return whether a task that has not ended was last asked for at `pool`."""
+        """Return whether an unfinished task is placed at `pool`."""
         return any(pool in active.placed.values() for active in self._active.values())
 
     def cancel(self, batch: BatchId) -> bool:
-        """End a job for its caller; return whether it was at work here."""
+        """Cancel a job for its caller; return whether it was active here."""
         active = self._active.get(batch)
         if active is None:
             return False
@@ -324,7 +333,7 @@
         return True
 
     async def watch_unreachable(self) -> None:
-        """Give up jobs whose tasks are at pools that stay unreachable."""
+        """End jobs whose tasks are at pools that stay unreachable, until cancelled."""
         while True:
             if not self._active:
                 self._unreachable_since.clear()
@@ -334,11 +343,11 @@
             self.end_unreachable(self._clock.monotonic())
 
     def end_unreachable(self, now: timedelta) -> None:
-        """Give up jobs with tasks at unreachable pools for too long.
+        """End jobs with tasks at pools unreachable for `lost_pool_timeout`.
 
-        The tasks may go on there for a while, so they are not run elsewhere and the
-        job is not said not to have run. Whoever sends it again does so later than
-        the last of them can be at work.
+        The tasks may keep running there for a while, so they are not sent elsewhere and
+        the job is not reported as not run. By the time that a caller submits the job
+        again, the last of them must have ended.
         """
         reachable = self._pools.reachable()
         for active in list(self._active.values()):
@@ -353,7 +362,10 @@
                     break
 
     def end_all(self) -> None:
-        """Give up every job, as after a suspension that owners do not wait for."""
+        """End every job with an unknown outcome, because this host stops.
+
+        A suspended host does the same when it resumes, as owners did not wait for it.
+        """
         for active in list(self._active.values()):
             self._end(active, BatchResult(BatchOutcome.UNKNOWN, GiveUpReason.STOPPING))
 
@@ -370,7 +382,7 @@
 
 
 def critical_path(batch: Batch) -> timedelta:
-    """Return the longest chain of estimates through the steps of `batch`."""
+    """Return the estimated duration of the longest chain of dependent steps."""
     path_lengths: list[timedelta] = []
     for step in batch.steps:
         start = max((path_lengths[n] for n in step.after), default=timedelta(0))
--- a/src/brasstray/coordinator/events.py
+++ b/src/brasstray/coordinator/events.py
@@ -1,4 +1,4 @@
-"""Define who is told of the decisions of a coordinator, for logs and counters."""
+"""Define the observer of a coordinator's decisions, for logs and metrics."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 
 
 class CoordinatorEvents(Protocol):
-    """Receive decisions; never blocks."""
+    """Receive each decision; implementations must not block."""
 
     def answered(
         self, active: ActiveBatch, result: BatchResult, took: timedelta
     ) -> None:
-        """A job has its result."""
+        """Record that a job has its result, `took` after it was submitted."""
 
     def moved(self, active: ActiveBatch, count: int, pool: PoolId) -> None:
-        """Tasks go to another pool than the one first asked."""
+        """Record that tasks were sent to another pool than the previous one."""
 
     def claimed(self, active: ActiveBatch, count: int, pool: PoolId) -> None:
-        """Tasks are asked for again at a pool with a new owner or link."""
+        """Record that tasks were requested again, from a new owner or on a new link."""
 
 
 __all__ = ["CoordinatorEvents"]
--- a/src/brasstray/coordinator/pools.py
+++ b/src/brasstray/coordinator/pools.py
@@ -1,4 +1,4 @@
-"""Define how a coordinator reaches the owners of pools."""
+"""Define the interface of a coordinator to the owners of pools."""
 
 from __future__ import annotations
 
@@ -11,22 +11,22 @@
 
 
 class Pools(Protocol):
-    """Reach the owners of pools."""
+    """Report which pools are reachable, and send messages to their owners."""
 
     def reachable(self) -> dict[PoolId, PoolLoad]:
         """Return the pools whose owners are reachable, with their load."""
 
     def unasked(self) -> list[PoolId]:
-        """Return pools of which nothing is known, but which may be asked."""
+        """Return the pools that have no open link yet, but accept a request."""
 
     def is_evacuated(self, pool: PoolId) -> bool:
-        """Return whether the minions of `pool` get nothing new."""
+        """Return whether `pool` is evacuated: its minions start no new tasks."""
 
     def all_evacuated(self) -> bool:
-        """Return whether no pool is known whose minions get anything new."""
+        """Return whether every known pool is evacuated, and at least one is known."""
 
     def tell(self, pool: PoolId, message: PoolMessage) -> None:
-        """Send `message` to the owner of `pool`; drop it if that is unreachable."""
+        """Send `message` to the owner of `pool`; drop it if it cannot be delivered."""
 
 
 __all__ = ["Pools"]
--- a/src/brasstray/coordinator/timing.py
+++ b/src/brasstray/coordinator/timing.py
@@ -1,4 +1,4 @@
-"""Hold the intervals that a coordinator works by."""
+"""Define the intervals of a coordinator."""
 
 from __future__ import annotations
 
@@ -8,12 +8,16 @@
 
 @dataclass(frozen=True)
 class CoordinatorTiming:
-    """Set how long a coordinator waits; docs/INVARIANTS.md has the inequality.
-
-    `pool_timeout` is how long a new job waits for any owner, about a takeover.
-    `lost_pool_timeout` is how long tasks at a pool without a reachable owner are waited
-    for. `retry_after` is told when nothing better is known, `evacuated_retry_after`
-    while every data centre is evacuated, which lasts for several seconds at least.
+    """Define how long a coordinator waits; docs/INVARIANTS.md has the inequality.
+
+    `pool_timeout` is how long a new job waits for any owner, about the duration of a
+    takeover.
+    `lost_pool_timeout` is how long the coordinator waits for tasks at a pool without a
+    reachable owner.
+    `retry_after` is the default delay before a refused caller may retry;
+    `evacuated_retry_after` applies while every data centre is evacuated, which lasts
+    for several seconds at least.
+    `tick` is the polling interval.
     """
 
     pool_timeout: timedelta = timedelta(milliseconds=300)
--- a/tests/coordinator/test_coordinator.py
+++ b/tests/coordinator/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Check what a coordinator asks of pools and what it tells callers."""
+"""Check what a coordinator requests from pools and reports to callers."""
 
 from __future__ import annotations
 
@@ -65,7 +65,7 @@
 
 
 def with_coordinator(steps, batch=None, loads=None):
-    """Return the result of a job while `steps` plays what the pools tell."""
+    """Return the result, duration and pools of a job; `steps` acts as its pools."""
 
     async def main():
         pools = FakePools()
@@ -129,19 +129,19 @@
 @pytest.mark.parametrize(
     ("told", "outcome"),
     [
-        # Nothing was ever sent to a minion.
+        # No task was sent to a minion.
         ([returned(0, 1, wait_ms=2_500)], BatchOutcome.NOT_RUN),
-        # One task is done, so the job has run in part.
+        # One task is done: the job has partly run.
         ([ended(0), returned(1, wait_ms=2_500)], BatchOutcome.UNKNOWN),
-        # The other task is still at the pool, and may be at work.
+        # The other task is still placed at the pool and may be running.
         ([returned(1, wait_ms=2_500)], BatchOutcome.UNKNOWN),
-        # A run had begun and was stopped before the task was given back.
+        # A run was started and stopped before the task was returned.
         ([returned(0, 1, wait_ms=2_500, begun=True)], BatchOutcome.UNKNOWN),
-        # Nobody can tell whether the tasks are at work.
+        # The owner does not know whether the tasks are running.
         ([returned(0, 1, outcome_unknown=True)], BatchOutcome.UNKNOWN),
     ],
 )
-def test_a_job_is_said_not_to_have_run_only_if_it_has_not(told, outcome):
+def test_not_run_is_reported_only_if_nothing_has_run(told, outcome):
     def steps(coordinator, pools):
         for message in told:
             if isinstance(message, TasksEnded):
@@ -153,10 +153,10 @@
     assert result.outcome is outcome
 
 
-def test_a_job_that_had_begun_elsewhere_is_not_said_not_to_have_run():
-    # A task begins at the home pool on a minion that stands still. It is stopped and
-    # goes to another pool, which is full and gives it back. The caller is told that
-    # nothing ran, though a run had begun: she would submit it as new elsewhere.
+def test_a_job_that_began_at_another_pool_is_not_reported_as_not_run():
+    # Guards against "not run" answers to jobs that have begun, which callers submit as
+    # new. A task starts at the home pool on a minion that hangs, is stopped there and
+    # sent to another pool, which is full and returns it.
     def steps(coordinator, pools):
         coordinator.handle_tasks_returned(HOME, returned(0, 1, pool=AWAY, begun=True))
         coordinator.handle_tasks_returned(AWAY, returned(0, 1, wait_ms=900))
@@ -167,8 +167,8 @@
 
 
 def test_a_claim_counts_as_begun():
-    # The owner of a pool dies with tasks of a job; its successor knows nothing of them
-    # and gives them back. The dead owner may have started them.
+    # The owner of a pool dies while it has tasks of a job. Its successor does not know
+    # them and returns them, but the dead owner may have started them.
     def steps(coordinator, pools):
         coordinator.claim(HOME)
         coordinator.handle_tasks_returned(HOME, returned(0, 1, wait_ms=900))
@@ -178,7 +178,7 @@
     assert pools.runs()[-1][1].claimed
 
 
-def test_returned_tasks_go_to_the_pool_that_has_room():
+def test_returned_tasks_go_to_the_pool_with_free_slots():
     def steps(coordinator, pools):
         coordinator.handle_tasks_returned(HOME, returned(1, pool=AWAY))
         coordinator.handle_tasks_ended(HOME, ended(0))
@@ -190,10 +190,10 @@
     assert sent == [(HOME, (0, 1), False), (AWAY, (1,), True)]
 
 
-def test_tasks_at_a_pool_out_of_reach_are_given_up_after_a_while():
-    # The lines to a data centre fail while it runs tasks of a job. They may go on
-    # there, so they are not started elsewhere; the caller is told soon enough to ask
-    # again, and not that nothing has run.
+def test_a_job_ends_after_its_pool_is_unreachable_for_the_timeout():
+    # The network to a data centre fails while it runs tasks of a job. They may keep
+    # running, so they are not started elsewhere. The caller gets an answer early enough
+    # to submit the job again, and not the answer that nothing has run.
     def steps(coordinator, pools):
         del pools.loads[HOME]
 
@@ -203,7 +203,7 @@
     assert 0.85 < took < 1.1
 
 
-def test_without_any_pool_the_caller_is_told_when_to_come_back():
+def test_without_any_pool_the_caller_is_told_when_to_retry():
     result, took, pools = with_coordinator(lambda *_: None, loads={})
     assert result.outcome is BatchOutcome.NOT_RUN
     assert result.reason is GiveUpReason.NO_POOL
@@ -212,7 +212,7 @@
     assert pools.told == []
 
 
-def test_a_later_step_waits_for_those_before_it():
+def test_a_step_waits_for_the_steps_it_depends_on():
     needs = Resources(1_000)
     batch = Batch(
         JOB,
@@ -235,7 +235,7 @@
     assert critical_path(batch) == timedelta(milliseconds=120)
 
 
-def test_the_deadline_ends_a_job_whose_tasks_do_not():
+def test_the_deadline_ends_a_job_whose_tasks_do_not_end():
     result, took, pools = with_coordinator(lambda *_: None)
     assert result.outcome is BatchOutcome.UNKNOWN
     assert result.reason is GiveUpReason.TOO_LATE
@@ -247,8 +247,8 @@
     return TasksReturned(batch=JOB, step=0, indices=(0, 1), pool=pool, evacuated=True)
 
 
-def test_tasks_from_an_evacuated_pool_may_be_passed_on_once_more():
-    # The next pool may be full by the time they come, while a third has room.
+def test_tasks_from_an_evacuated_pool_may_be_forwarded_once_more():
+    # The next pool may be full when they arrive, while a third has free slots.
     def steps(coordinator, pools):
         coordinator.handle_tasks_returned(HOME, returned_evacuated(AWAY))
 
@@ -257,9 +257,10 @@
 
 
 def test_a_job_is_refused_once_its_pools_are_evacuated_one_after_the_other():
-    # A job waits in a data centre that is emptied, goes to another one and is sent back
-    # from there, as that is emptied too. It must not go to and fro until its caller
-    # leaves: nothing of it has run, and she is told when to come back.
+    # Guards against a job that bounces between two evacuated pools until its caller
+    # gives up. It waits in a data centre that is evacuated, moves to another one and is
+    # returned when that is evacuated too. Nothing of it has run, and its caller is told
+    # when to retry.
     def steps(coordinator, pools):
         pools.evacuated.add(HOME)
         coordinator.handle_tasks_returned(HOME, returned_evacuated(AWAY))
@@ -276,8 +277,8 @@
     assert len(pools.runs()) == 2
 
 
-def test_a_job_goes_where_its_host_knows_an_owner():
-    # The owner that gives it back names a pool that this host has not heard of yet.
+def test_a_job_goes_to_a_pool_that_its_host_knows():
+    # The owner that returns the job proposes a pool that this host does not know yet.
     def steps(coordinator, pools):
         pools.evacuated.add(HOME)
         coordinator.handle_tasks_returned(
