--- a/src/brasstray/host/load_notifier.py
+++ b/src/brasstray/host/load_notifier.py
@@ -1,4 +1,4 @@
-"""Notify other owners at once when a pool gains or loses free slots."""
+"""Notify other owners when a pool gains free slots or has none left."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 
 
 class LoadNotifier:
-    """Report free slots between heartbeats.
+    """Report changes of free slots between heartbeats.
 
-    A place is free for some 10 ms under load: with heartbeats alone, tasks waited in
-    one data centre while slots were free in another.
+    Under load, a slot stays free for about 10 ms. With heartbeats alone, tasks waited
+    in one data centre while slots were free in another.
     """
 
     def __init__(
@@ -33,7 +33,7 @@
         self._reported = 0
 
     async def run(self) -> None:
-        """Tell of each change until cancelled."""
+        """Report each change until cancelled."""
         while True:
             owner = self._owner()
             if owner is None:
--- a/src/brasstray/host/local_requester.py
+++ b/src/brasstray/host/local_requester.py
@@ -1,4 +1,4 @@
-"""Pass what the own pool tells to the coordinator of the same process."""
+"""Deliver messages of the local pool to the coordinator in the same process."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class LocalRequester:
-    """Stand for the host itself among those that ask its pool for tasks."""
+    """Represent the host itself as a requester of its own pool."""
 
     def __init__(
         self, host: HostName, on_message: Callable[[PoolMessage], None]
@@ -21,11 +21,11 @@
         self._on_message = on_message
 
     def tell(self, message: PoolMessage) -> None:
-        """Take `message` at once."""
+        """Deliver `message` immediately."""
         self._on_message(message)
 
     def tell_later(self, message: PoolMessage) -> None:
-        """Take `message` at once: within a process nothing is saved by waiting."""
+        """Deliver `message` immediately: batching saves nothing within a process."""
         self._on_message(message)
 
 
--- a/src/brasstray/host/outside.py
+++ b/src/brasstray/host/outside.py
@@ -1,4 +1,4 @@
-"""Join what a host is given from outside."""
+"""Define the external dependencies of a host."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class Events(HostEvents, CoordinatorEvents, OwnerEvents, Protocol):
-    """Receive everything that a host decides or comes to believe."""
+    """Receive all events of a host, its coordinator and the owner of its pool."""
 
 
 @dataclass(frozen=True)
 class Outside:
-    """Hold the interfaces that a host reaches the outside by.
+    """Hold the interfaces through which a host accesses its environment.
 
-    `uptime` is a steady time that goes on while the machine is suspended.
+    `uptime` is a monotonic clock that advances while the machine is suspended.
     """
 
     clock: Clock
--- a/src/brasstray/host/owner_record.py
+++ b/src/brasstray/host/owner_record.py
@@ -1,4 +1,4 @@
-"""Describe who owns a pool, as the store keeps it."""
+"""Encode and decode the store entries that record the owner of each pool."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 class OwnerRecord(msgspec.Struct, frozen=True):
-    """Hold the incarnation that owns a pool and where it is reached."""
+    """Hold the incarnation that owns a pool, and its address."""
 
     host: HostName
     incarnation: IncarnationId
@@ -25,10 +25,10 @@
 
 
 class OwnedPool(msgspec.Struct, frozen=True):
-    """Hold an owner and its fencing token, which is the version of its entry.
+    """Hold an owner and its fencing token, which is the version of its store entry.
 
-    The store's versions only rise, so a later owner has a higher token without any
-    count of our own.
+    Versions in the store only increase, so a later owner always has a higher token and
+    no separate counter is needed.
     """
 
     owner: OwnerRecord
@@ -36,17 +36,17 @@
 
 
 def pool_key(pool: PoolId) -> str:
-    """Return the name under which the owner of `pool` is kept."""
+    """Return the store key of the owner of `pool`."""
     return POOL_PREFIX + pool
 
 
 def pool_from_key(key: str) -> PoolId:
-    """Return the pool whose owner is kept under `key`."""
+    """Return the pool whose owner is stored under `key`."""
     return PoolId(key.removeprefix(POOL_PREFIX))
 
 
 def owned_pool(entry: StoreEntry) -> OwnedPool:
-    """Return what `entry` says; raise ValueError if it says nothing readable."""
+    """Decode `entry`; raise ValueError if its value is malformed."""
     owner = msgspec.json.decode(entry.value, type=OwnerRecord)
     return OwnedPool(owner=owner, token=FencingToken(entry.version))
 
--- a/src/brasstray/host/owner_state.py
+++ b/src/brasstray/host/owner_state.py
@@ -1,4 +1,4 @@
-"""List what a link can show of a pool's owner."""
+"""Define what a link can know about the owner of a pool."""
 
 from __future__ import annotations
 
@@ -6,13 +6,14 @@
 
 
 class OwnerState(Enum):
-    """Tell whether the listed owner of a pool is there.
+    """Tell whether the listed owner of a pool is reachable.
 
     EXPECTED: not reached since the store listed it. It may be slow to answer, or not
     have heard yet that its claim was written.
+    UP: reachable.
     LOST: it was reachable, and the connection has ended or gone silent.
     GONE: it does not own the pool any more, or its process has ended.
-    RESIGNING: it wants another host to take the pool.
+    RESIGNING: reachable, but it wants another host to take the pool.
     """
 
     EXPECTED = "expected"
--- a/src/brasstray/host/ownership.py
+++ b/src/brasstray/host/ownership.py
@@ -1,4 +1,4 @@
-"""Follow who owns the pools, and claim the pool of this data centre if it is vacant."""
+"""Track the owners of all pools, and claim this data centre's pool if it is vacant."""
 
 from __future__ import annotations
 
@@ -40,10 +40,11 @@
 
 
 class Ownership:
-    """Take the pool by compare-and-swap when no reachable host owns it.
+    """Claim the pool by compare-and-swap when no reachable host owns it.
 
-    Taking it from an owner that lives is safe: minions obey the highest token only.
-    It costs the runs that expire meanwhile, so the listed owner is given time first.
+    Claiming it from a live owner is safe, as minions obey only the highest token. But
+    runs whose leases expire during the takeover are lost, so the listed owner is given
+    time first.
     """
 
     def __init__(
@@ -84,25 +85,25 @@
 
     @property
     def known(self) -> bool:
-        """Return whether the store has been read since the start."""
+        """Return whether the store has been read since this host started."""
         return self._known
 
     @property
     def confirmed_at(self) -> timedelta:
-        """Return when the store last said that this host owns the pool."""
+        """Return when the store last confirmed that this host owns the pool."""
         return self._confirmed_at
 
     def drain(self) -> None:
-        """Claim nothing from now on."""
+        """Stop claiming the pool."""
         self._draining = True
 
     def release(self) -> None:
-        """Record that this host acts under its token no more."""
+        """Record that this host no longer acts under its token."""
         self._token_released = max(self._token_released, self._token_held)
         self._token_held = 0
 
     async def confirm(self, owned: OwnedPool) -> bool:
-        """Tell whether the store says that the pool is still owned as `owned` says."""
+        """Return whether the store confirms `owned`, False if it is unavailable."""
         try:
             entry = await self._store.get(pool_key(self._pool))
         except StoreUnavailableError as error:
@@ -111,7 +112,7 @@
         return entry is not None and entry.version == owned.token
 
     async def follow(self) -> None:
-        """Follow the store's entries until cancelled."""
+        """Apply changes of the store's entries until cancelled."""
         await follow_store(
             "pools",
             self._read_store,
@@ -121,7 +122,7 @@
         )
 
     async def _read_store(self, as_of: int | None) -> int:
-        """Learn of all pools, or of what came after `as_of`; return what is known."""
+        """Read all entries, or the changes after `as_of`; return the version read."""
         if as_of is None:
             found = await self._store.snapshot(POOL_PREFIX)
             self._apply_snapshot(found.entries)
@@ -153,23 +154,22 @@
         try:
             owned = owned_pool(entry)
         except ValueError as error:
-            self._events.pool_claim_failed(pool, f"unreadable entry: {error}")
+            self._events.pool_claim_failed(pool, f"malformed store entry: {error}")
             return
         self._directory.update_owner(pool, owned)
         if pool == self._pool:
             self._takeover_backoff.record_owner(owned.token, self._clock.monotonic())
         if pool == self._pool and self._token_held < owned.token:
             if owned.owner.incarnation != self._identity.incarnation:
-                self._drop_ownership(f"taken by {owned.owner.incarnation}")
+                self._drop_ownership(f"claimed by {owned.owner.incarnation}")
             elif not self._draining and owned.token > self._token_released:
-                # The reply to our claim was lost, but the store shows that it was
-                # written.
+                # The claim was written, although the reply to it was lost.
                 self._acquire(owned)
 
     def _apply_removal(self, key: str) -> None:
         self._directory.update_owner(pool_from_key(key), None)
         if key == pool_key(self._pool):
-            self._drop_ownership("the entry was removed")
+            self._drop_ownership("store entry removed")
 
     def _drop_ownership(self, reason: str) -> None:
         if self._token_held:
@@ -177,10 +177,10 @@
             self._on_lost(reason)
 
     async def claim_when_vacant(self) -> None:
-        """Claim the pool whenever no reachable host owns it."""
+        """Claim the pool whenever no reachable host owns it, until cancelled."""
         while True:
             if self._token_held or self._has_reachable_owner():
-                # An owner that is lost, also by silence, ends this wait.
+                # The loss of the owner, including by silence, ends this wait.
                 with anyio.move_on_after(
                     self._timing.vacancy_check_interval.total_seconds()
                 ):
@@ -193,10 +193,10 @@
 
     @property
     def _may_claim(self) -> bool:
-        """Return whether this host knows enough to own the pool, and stays.
+        """Return whether this host knows enough to own the pool and is not draining.
 
-        Guards against starts in an evacuated data centre by a host that was just
-        started: one that has not read which those are must not order minions.
+        A host that was just started and has not read the evacuations yet must not order
+        minions: it might start tasks in an evacuated data centre.
         """
         return self._known and self._evacuations.current.known and not self._draining
 
@@ -212,7 +212,7 @@
         return now - self._vacant_since >= self._vacancy_timeout
 
     def _claim_delay(self) -> timedelta:
-        """Return how long this host leaves the pool to those that come before it."""
+        """Return the wait for hosts ranked before this one, jittered if unranked."""
         claim_delay = self._succession.claim_delay
         if self._succession.is_successor:
             return claim_delay
@@ -232,8 +232,9 @@
             case OwnerState.LOST | OwnerState.GONE | OwnerState.RESIGNING:
                 return True
             case OwnerState.EXPECTED:
-                # On slow hosts, takeovers could chain: each makes work for all hosts,
-                # so that the next owner answers later still and is replaced as well.
+                # Without this timeout, takeovers can cascade on slow hosts: each one
+                # loads all hosts, so the next owner answers even later and is replaced
+                # as well.
                 owner_age = self._directory.owner_age(self._pool)
                 return owner_age >= self._timing.new_owner_timeout
             case OwnerState.UP:
@@ -253,7 +254,7 @@
         try:
             version = await self._store.swap(key, value, expected)
         except StoreConflictError:
-            self._events.pool_claim_failed(self._pool, "taken by another host")
+            self._events.pool_claim_failed(self._pool, "claimed by another host")
             await self.refresh()
         except StoreUnavailableError as error:
             self._events.pool_claim_failed(self._pool, str(error))
@@ -270,7 +271,7 @@
         self._on_acquired(owned)
 
     async def refresh(self) -> None:
-        """Ask the store who owns the pool, and act on what it says."""
+        """Read the owner of the pool from the store, and apply any change."""
         try:
             entry = await self._store.get(pool_key(self._pool))
         except StoreUnavailableError as error:
--- a/src/brasstray/host/pool_directory.py
+++ b/src/brasstray/host/pool_directory.py
@@ -1,4 +1,4 @@
-"""Know who owns each pool, and keep a way to each owner."""
+"""Track the owner of each pool, and route messages to it."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class PoolDirectory:
-    """Hold the known owners; reach the own pool in the process, others by links."""
+    """Hold the known owners; route to the local pool directly, to others by links."""
 
     def __init__(
         self,
@@ -73,16 +73,16 @@
         self._local_load: Callable[[], PoolLoad] = PoolLoad
 
     def use_task_group(self, group: TaskGroup) -> None:
-        """Run links in `group` from now on."""
+        """Run links in `group`; call this before the first owner is recorded."""
         self._group = group
 
     @property
     def owners(self) -> dict[PoolId, OwnedPool]:
-        """Return who owns each pool, as far as the store has told."""
+        """Return the owner of each pool, as last read from the store."""
         return dict(self._owned)
 
     def owned(self, pool: PoolId) -> OwnedPool | None:
-        """Return who owns `pool`, as far as the store has told."""
+        """Return the owner of `pool`, as last read from the store."""
         return self._owned.get(pool)
 
     def owns_other_pool(self, host: str) -> bool:
@@ -93,17 +93,17 @@
         )
 
     def owner_state(self, pool: PoolId) -> OwnerState:
-        """Return what is seen of the listed owner of `pool`, another host."""
+        """Return the state of the link to the owner of `pool`, UP without a link."""
         link = self._links.get(pool)
         return OwnerState.UP if link is None else link.owner_state
 
     def owner_age(self, pool: PoolId) -> timedelta:
-        """Return for how long the listed owner of `pool` has been known as such."""
+        """Return how long ago this host learned of the current owner of `pool`."""
         link = self._links.get(pool)
         return timedelta(0) if link is None else link.owner_age(self._clock.monotonic())
 
     def update_owner(self, pool: PoolId, owned: OwnedPool | None) -> None:
-        """Record who owns `pool`; older news than what is known are ignored."""
+        """Record the owner of `pool`, None if it has none; ignore an older owner."""
         known = self._owned.get(pool)
         self._notify_change()
         if owned is None:
@@ -126,20 +126,20 @@
         self._change.set()
 
     async def wait_for_change(self) -> None:
-        """Wait until a pool has another owner, or an owner is seen otherwise."""
+        """Wait until a pool has a new owner, or the state of an owner changes."""
         await self._change.wait()
         self._change = anyio.Event()
 
     def _keeps_open(self, pool: PoolId) -> bool:
-        """Return whether the link to `pool` stays open without tasks there.
+        """Return whether the link to `pool` stays open while no tasks are placed there.
 
-        Every host watches the pool that it may take over. Owners tell one another of
-        their room.
+        Every host monitors the pool that it may take over, and owners report their free
+        slots to one another.
         """
         return pool == self._home or self._local_pool is not None
 
     def _drop_link(self, pool: PoolId) -> list[RunTasks]:
-        """End the link to `pool`; return the requests that have not left this host."""
+        """Close the link to `pool`; return the requests that were not sent yet."""
         link = self._links.pop(pool, None)
         if link is None:
             return []
@@ -152,16 +152,16 @@
         tell: Callable[[PoolMessage], None],
         load: Callable[[], PoolLoad],
     ) -> None:
-        """Reach `pool` within the process from now on."""
+        """Route messages for `pool` to `tell`, as this host owns it now."""
         self._local_pool, self._send_local, self._local_load = pool, tell, load
         for link in self._links.values():
             link.request_connection()
 
     def clear_local_pool(self) -> None:
-        """Reach no pool within the process any more."""
+        """Stop routing to a local pool, as this host no longer owns one."""
         self._local_pool = self._send_local = None
 
-    # What a coordinator needs
+    # Interface to the coordinator (Pools)
 
     def reachable(self) -> dict[PoolId, PoolLoad]:
         """Return the pools whose owners are reachable, with their load."""
@@ -171,7 +171,7 @@
         return found
 
     def unasked(self) -> list[PoolId]:
-        """Return the pools that are not reachable, but for which a request may wait."""
+        """Return the pools that have no open link yet, but accept a request."""
         return [
             pool
             for pool, link in self._links.items()
@@ -179,29 +179,29 @@
         ]
 
     def is_evacuated(self, pool: PoolId) -> bool:
-        """Return whether the minions of `pool` get nothing new."""
+        """Return whether `pool` is evacuated: its minions start no new tasks."""
         return self._evacuations.covers(pool)
 
     def all_evacuated(self) -> bool:
-        """Return whether no pool is known whose minions get anything new."""
+        """Return whether every known pool is evacuated, and at least one is known."""
         return bool(self._owned) and all(map(self.is_evacuated, self._owned))
 
     def tell(self, pool: PoolId, message: PoolMessage) -> None:
-        """Send `message` to the owner of `pool`; drop it if that is unreachable."""
+        """Send `message` to the owner of `pool`; drop it if it cannot be delivered."""
         if pool == self._local_pool and self._send_local is not None:
             self._send_local(message)
         elif pool in self._links:
             self._links[pool].tell(message)
 
-    # What the owner of a pool needs
+    # Interface to the owner of the local pool (OtherPools)
 
     def loads(self) -> dict[PoolId, PoolLoad]:
-        """Return the load of other hosts' pools to which tasks may be sent."""
+        """Return the loads of other hosts' reachable pools that are not evacuated."""
         loads = self._all_loads()
         return {p: load for p, load in loads.items() if not self.is_evacuated(p)}
 
     def expected(self) -> bool:
-        """Tell whether a pool may be reachable soon to which a link is being opened."""
+        """Return whether a pool that is not evacuated may become reachable soon."""
         return any(not self.is_evacuated(pool) for pool in self.unasked())
 
     def _all_loads(self) -> dict[PoolId, PoolLoad]:
@@ -215,11 +215,11 @@
         return found
 
     def reserve_slots(self, pool: PoolId, count: int) -> None:
-        """Count `count` slots of `pool` as used until it reports its load again."""
+        """Count `count` slots of `pool` as used until its next load report."""
         self._reserved_slots[pool] = self._reserved_slots.get(pool, 0) + count
 
     def reset_reserved_slots(self, pool: PoolId) -> None:
-        """Take the load that `pool` has just told as it is."""
+        """Discard reservations of `pool`, as a newer load report has arrived."""
         self._reserved_slots.pop(pool, None)
 
 
--- a/src/brasstray/host/pool_handover.py
+++ b/src/brasstray/host/pool_handover.py
@@ -1,4 +1,4 @@
-"""Have a much stronger host take the pool that this one owns."""
+"""Hand the pool of this host over to a considerably more powerful host."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class PoolHandover:
-    """Ask the strongest reachable host to take the pool, once in a tenure."""
+    """Request that the most powerful reachable host take over, once per tenure."""
 
     def __init__(
         self,
@@ -37,7 +37,7 @@
 
     @property
     def requested(self) -> bool:
-        """Return whether another host is being asked to take the pool."""
+        """Return whether another host has been requested to take over the pool."""
         return self._requested
 
     def start_tenure(self) -> None:
@@ -46,11 +46,11 @@
         self._requested = False
 
     def end_tenure(self) -> None:
-        """Record that this host owns the pool no more."""
+        """Record that this host no longer owns the pool."""
         self._requested = False
 
     async def watch(self, may_hand_over: Callable[[], bool]) -> None:
-        """Ask whenever the pool is better moved, and `may_move` allows it."""
+        """Request a handover when one pays off and `may_hand_over` allows it."""
         while True:
             await self._clock.sleep(SHORTEST_TENURE)
             if may_hand_over() and not self._requested:
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -1,4 +1,4 @@
-"""Run one host: serve its callers' jobs, and own its data centre's pool when due."""
+"""Run one host: coordinate its callers' jobs, and own the pool when elected."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
 
 
 class PoolHost:
-    """Join coordinator, ownership and owner of one host."""
+    """Connect the coordinator, the ownership and the pool owner of one host."""
 
     def __init__(
         self,
@@ -137,57 +137,58 @@
 
     @property
     def identity(self) -> HostIdentity:
-        """Return who this host is."""
+        """Return the identity of this host."""
         return self._identity
 
     @property
     def events(self) -> Events:
-        """Return who is told of decisions."""
+        """Return the receiver of this host's events."""
         return self._events
 
     @property
     def coordinator(self) -> Coordinator:
-        """Return what sees jobs through."""
+        """Return the coordinator of this host's jobs."""
         return self._coordinator
 
     @property
     def config(self) -> CurrentConfig:
-        """Return the configuration in force here."""
+        """Return the configuration in force on this host."""
         return self._knowledge.config
 
     @property
     def evacuations(self) -> Evacuations:
-        """Return the data centres that get nothing new, as far as is known here."""
+        """Return the evacuated data centres, as far as this host knows."""
         return self._evacuations
 
     @property
     def owner(self) -> PoolOwner | None:
-        """Return the owner, while this host owns its pool."""
+        """Return the owner, or None if this host does not own its pool."""
         return self._owner
 
     @property
     def owned_confirmed_ago(self) -> timedelta:
-        """Return how old the store's last word is that this host owns its pool."""
+        """Return how long ago the store last confirmed that this host owns its pool."""
         return self._clock.monotonic() - self._ownership.confirmed_at
 
     async def confirm_owned(self) -> None:
-        """Have the store confirm that this host owns its pool, if it thinks so.
+        """Check with the store that this host still owns its pool, if it owns one.
 
-        Guards against operators who see two owners: a host that was late, or whose
-        watch of the store has gone silent, goes on as the owner that it was. It leaves
-        the pool if the store says otherwise, and stays if the store says nothing.
+        Without this check, operators could see two owners: a host that was late, or
+        whose watch of the store went silent, still considers itself the owner. It gives
+        up the pool if the store lists another owner, and keeps it if the store does not
+        answer.
         """
         if self._owner is not None:
             await self._ownership.refresh()
 
     @property
     def draining(self) -> bool:
-        """Return whether this host is about to leave."""
+        """Return whether this host is draining."""
         return self._draining
 
     @property
     def ready(self) -> bool:
-        """Return whether callers should be sent here."""
+        """Return whether callers should be routed to this host."""
         return (
             not self._draining
             and self.config.current is not None
@@ -196,7 +197,7 @@
 
     @property
     def owners(self) -> dict[PoolId, OwnedPool]:
-        """Return who owns each pool, as far as is known here."""
+        """Return the owner of each pool, as far as this host knows."""
         return self._directory.owners
 
     @property
@@ -206,16 +207,16 @@
 
     @property
     def unasked(self) -> set[PoolId]:
-        """Return the pools not reachable, but for which a request may wait."""
+        """Return the pools that have no open link yet, but accept a request."""
         return set(self._directory.unasked())
 
     @property
     def links(self) -> list[RequesterLink]:
-        """Return the connections that other hosts have opened to this one."""
+        """Return the connections on which other hosts request tasks from this one."""
         return list(self._requesters)
 
     async def run(self) -> None:
-        """Serve until cancelled."""
+        """Run the host until cancelled."""
         self._started_at = self._clock.monotonic()
         async with anyio.create_task_group() as group:
             self._group = group
@@ -230,11 +231,11 @@
             group.start_soon(self._handover.watch, self._may_hand_over)
 
     def drain(self, time_left: timedelta | None = None) -> None:
-        """Have another host take the pool; go on with the jobs at work here.
+        """Have another host take over the pool; continue with the active jobs.
 
-        All jobs are answered by the end of `time_left`, if that is given. Guards also
-        against a pool without an owner: while the store is unreachable nobody can take
-        it, and this host goes on until somebody has.
+        All jobs are answered by the end of `time_left`, if that is given. This host
+        keeps the pool until another host has claimed it: while the store is
+        unreachable, no host can, and the pool would have no owner.
         """
         if self._draining:
             return
@@ -252,11 +253,12 @@
         self._coordinator.end_all()
 
     async def first_config(self) -> Configuration | None:
-        """Return the configuration in force, after a moment's wait if there is none.
+        """Return the configuration in force, or None if there is none.
 
-        Guards against callers who are turned away by hosts that were all just started,
-        in the moment between listening and the store's answer. Later than that nobody
-        knows when one will come, and they are told at once.
+        In the first `first_config_timeout` after its start, the host waits for one.
+        Otherwise, callers would be rejected when all hosts have just started, between
+        listening and the first answer of the store. Later, it is not known when a
+        configuration will arrive, and callers are told immediately.
         """
         if self.config.current is None:
             now = self._clock.monotonic()
@@ -271,11 +273,11 @@
     async def run_job(
         self, batch: Batch, queue: Queue, timeout: timedelta
     ) -> BatchResult:
-        """Return the result of `batch`, whose caller waits for `timeout`.
+        """Run `batch` and return its result, at the latest after `timeout`.
 
-        Guards against requests that come on open connections while this host leaves:
-        one that is read and still waits when the process ends has no answer at all.
-        What cannot be done before that is refused at once; nothing of it has run.
+        Requests still arrive on open connections while this host drains. One that is
+        unfinished when the process ends would get no answer, so a job that cannot
+        complete before that is refused immediately, as not run.
         """
         if self._drain_deadline is not None:
             left = self._drain_deadline - self._clock.monotonic()
@@ -286,12 +288,12 @@
                 return BatchResult(BatchOutcome.NOT_RUN, GiveUpReason.STOPPING)
         return await self._coordinator.run(batch, queue, timeout)
 
-    # Owning
+    # Ownership of the pool
 
     def _start_owner(self, owned: OwnedPool) -> None:
         assert self._group is not None
         if self._owner is not None:
-            self._stop_owner("a newer claim of ours")
+            self._stop_owner("superseded by a newer claim of this host")
         owner = self._owner = PoolOwner(
             self._pool,
             owned.token,
@@ -337,10 +339,10 @@
         self._requesters.send_state()
 
     async def _follow_evacuations(self) -> None:
-        """Act on each change, and tell it to the hosts that are linked to this one.
+        """Apply each change of the evacuations, and send it to the connected hosts.
 
-        Waiting tasks are evacuated, or get slots again, and hosts that the store turns
-        away hear of it within a heartbeat.
+        Waiting tasks are moved to other pools, or may start again, and hosts that the
+        store rejects learn of the change within a heartbeat.
         """
         while True:
             await self._evacuations.wait_for_change()
@@ -369,10 +371,10 @@
             evacuations=self._evacuations.current,
         )
 
-    # Messages to the owner
+    # Messages to the owner of the local pool
 
     async def serve(self, stream: MessageStream) -> None:
-        """Serve a host that has opened a connection, until it ends."""
+        """Serve a connection that another host has opened, until it closes."""
         link = RequesterLink(
             stream, self._clock, self._timing, self._state, self._handle_request
         )
@@ -384,8 +386,8 @@
             if self._owner is not None:
                 self._requesters.announce_successors()
         if reason != "silent":
-            # The host may come back on another connection and ask again; its runs go
-            # on for as long as if it had only been silent.
+            # The host may reconnect and claim its tasks: its runs continue for as long
+            # as if it had only been silent.
             await self._clock.sleep(self._timing.pool.requester_silence)
         self._events.requester_lost(link.name, reason)
         if self._owner is not None:
@@ -422,7 +424,7 @@
     # Messages to the coordinator
 
     def handle_pool_message(self, pool: PoolId, message: PoolMessage) -> None:
-        """Take what the owner of `pool` tells."""
+        """Handle a message from the owner of `pool`."""
         match message:
             case TasksEnded():
                 self._coordinator.handle_tasks_ended(pool, message)
@@ -446,15 +448,15 @@
         return self._owner is not None or self._coordinator.active > 0
 
     def _discard_state(self) -> None:
-        """Drop the pool and every job, after a suspension.
+        """Give up the pool and end every job, after a suspension.
 
-        Guards against orders of an owner that was suspended while another took its
-        pool: minions that the other has not reached yet would obey. What the
-        coordinator asked for is gone too, since owners heard nothing of it.
+        Another host may have taken over the pool during the suspension, and minions
+        that the new owner has not reached yet would still obey this one. The tasks that
+        the coordinator requested are lost too, because owners received no heartbeats.
         """
         if self._owner is not None:
             self._ownership.release()
-            self._stop_owner("was suspended")
+            self._stop_owner("process was suspended")
         self._coordinator.end_all()
 
 
--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -1,4 +1,4 @@
-"""Keep a connection to the owner of one pool."""
+"""Maintain a connection to the owner of one pool."""
 
 from __future__ import annotations
 
@@ -33,23 +33,25 @@
     from brasstray.peer.pool_messages import PoolMessage
 
 
-# Bursts that forward tasks return within seconds; keeping the link saves reopening it.
+# Bursts that forward tasks recur within seconds; an open link avoids reconnecting.
 IDLE_TIMEOUT = timedelta(seconds=3)
-# How long a request waits for a link that cannot be opened, about a takeover.
+# How long a request waits for a link that cannot be opened, about the duration of a
+# takeover.
 QUEUED_REQUEST_TIMEOUT = timedelta(milliseconds=300)
-# After it could not be reached, an owner is not asked for this long while others are.
+# How long an owner that could not be reached gets no new requests.
 UNREACHABLE_BACKOFF = timedelta(seconds=1)
 
 
 class PoolLink:
-    """Connect to an owner while it is wanted, and tell whether it is reachable.
+    """Connect to an owner while the link is needed, and track whether it is reachable.
 
-    The owner is reachable once it has said that it owns the pool under the token that
-    the store shows, or a higher one.
+    The owner is reachable once it has reported that it owns the pool under the token in
+    the store, or a higher one.
 
-    Heartbeats of links from every host to every owner would grow with the fleet. So a
-    link is kept where `keep` says so, and else opened with the first request and closed
-    once nothing was sent for IDLE_TIME and `busy` denies that tasks are there.
+    If every host kept a link to every owner, the number of heartbeats would grow with
+    the fleet. So a link stays open only if `keep_open` returns True. Any other link is
+    opened with the first request, and closed when no request was sent for IDLE_TIMEOUT
+    and `has_tasks` returns False.
     """
 
     def __init__(
@@ -96,17 +98,17 @@
 
     @property
     def pool_state(self) -> PoolState | None:
-        """Return what the owner last said, while it is reachable."""
+        """Return the last state that the owner sent, or None if it is unreachable."""
         return self._pool_state
 
     @property
     def owner_state(self) -> OwnerState:
-        """Return what the link shows of the owner."""
+        """Return what this link knows about the owner."""
         return self._owner_state
 
     @property
     def is_connectable(self) -> bool:
-        """Return whether a request may wait here for the link, as far as is known."""
+        """Return whether a request may be queued here until the link is open."""
         if self._pool_state is not None or self._owner_state is not OwnerState.EXPECTED:
             return False
         failed = self._failed_at
@@ -114,16 +116,16 @@
         return failed is None or now - failed >= UNREACHABLE_BACKOFF
 
     def owner_age(self, now: timedelta) -> timedelta:
-        """Return for how long the owner has been known as such."""
+        """Return how long ago this host learned of the owner."""
         return now - self._learned_at
 
     def tell(self, message: PoolMessage) -> None:
-        """Send `message`; a request opens the link, anything else is dropped then."""
+        """Send `message`; without a link, queue a request and drop anything else."""
         match message:
             case RunTasks():
                 self._send_request(message)
             case StopTasks() if self._pipe is None:
-                # A request sent after its job has ended would start orphaned runs.
+                # If it was sent after its job has ended, it would start orphaned runs.
                 self._queued = [r for r in self._queued if r.batch != message.batch]
             case _ if self._pipe is not None:
                 self._pipe.tell(message)
@@ -139,15 +141,15 @@
             self._queued.append(request)
 
     def request_connection(self) -> None:
-        """Open the link now."""
+        """Open the link, if it is closed."""
         self._wake.set()
 
     def stop(self) -> None:
-        """End `run`."""
+        """Stop `run` and close the link."""
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Stay connected while the owner is wanted, until stopped."""
+        """Stay connected while the link is needed, until stopped."""
         with self._scope:
             while True:
                 if not (self._keep_open(self._pool) or self._has_tasks(self._pool)):
@@ -161,7 +163,9 @@
         try:
             stream = await self._opener.open(owner.address, owner.port)
         except NobodyListensError:
-            self._mark_unreachable("nobody listens", OwnerState.GONE)
+            self._mark_unreachable(
+                "connection refused: no process listens", OwnerState.GONE
+            )
             self._return_unsent()
             return
         except StreamClosedError:
@@ -200,16 +204,17 @@
                 self._mark_unreachable(reason, OwnerState.LOST)
 
     def take_queued_requests(self) -> list[RunTasks]:
-        """Return the requests that wait for the link, and forget them."""
+        """Return the requests queued for the link, and clear the queue."""
         requests, self._queued = self._queued, []
         return requests
 
     def _return_unsent(self) -> None:
-        """Return requests that never left this host, as their pool is unreachable.
+        """Return queued requests to the coordinator, as their pool is unreachable.
 
-        Guards against a job that waits for a link that cannot be opened, as to a data
-        centre beyond a cut: it is known that nothing of it was sent. Before that, the
-        owner may be one that has just died, and a successor about to take over.
+        Otherwise a job would wait for a link that cannot be opened, for example to a
+        data centre that is cut off, although nothing of it was sent. Requests stay
+        queued for QUEUED_REQUEST_TIMEOUT first, because the owner may have just died
+        and a successor may be about to take over.
         """
         self._failed_at = self._clock.monotonic()
         if (
@@ -229,7 +234,7 @@
             self._wake = anyio.Event()
 
     def _reset_after_idle(self) -> None:
-        """Record that the link is closed since nobody needs it."""
+        """Reset the state after the link was closed as idle."""
         self._closed_as_idle = False
         self._pool_state = None
         self._owner_state = OwnerState.EXPECTED
@@ -281,15 +286,17 @@
             if not was_up:
                 self._events.link_up(self._pool, self._owned.owner.host)
                 self._failed_at = None
-                # Requests that opened the link were sent on it, and the owner may have
-                # returned their tasks for another pool by now. Claimed as well, they
-                # would be queued here and could run twice.
+                # The requests that opened the link were sent on it, and the owner may
+                # have returned their tasks for another pool by now. If they were
+                # claimed as well, the owner would queue them and they could run twice.
                 self._on_reachable(self._pool, frozenset(self._tasks_sent_early))
                 self._tasks_sent_early.clear()
         elif pool_state.incarnation != self._owned.owner.incarnation:
-            self._mark_unreachable("another process runs there", OwnerState.GONE)
+            self._mark_unreachable(
+                "another incarnation runs at its address", OwnerState.GONE
+            )
         elif self._owner_state is not OwnerState.EXPECTED:
-            self._mark_unreachable("not the owner", OwnerState.GONE)
+            self._mark_unreachable("no longer the owner", OwnerState.GONE)
 
     def _set_owner_state(self, owner_state: OwnerState) -> None:
         if owner_state is not self._owner_state:
--- a/src/brasstray/host/requester_link.py
+++ b/src/brasstray/host/requester_link.py
@@ -1,4 +1,4 @@
-"""Keep a connection that another host has opened to ask for tasks."""
+"""Serve a connection on which another host requests tasks."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class RequesterLink:
-    """Hear one host's requests and tell it of its tasks and of this host's state."""
+    """Receive the requests of one host, and send it task results and pool states."""
 
     def __init__(
         self,
@@ -44,27 +44,27 @@
 
     @property
     def name(self) -> str:
-        """Return the host's name, once it has said it."""
+        """Return the name of the host, or "unknown" before its hello."""
         return self._name
 
     @property
     def data_centre(self) -> DataCentreName | None:
-        """Return the host's data centre, once it has said who it is."""
+        """Return the data centre of the host, or None before its hello."""
         return self._data_centre
 
     @property
     def power(self) -> float:
-        """Return how strong the host is; 0 until it has said who it is."""
+        """Return the power of the host, or 0 before its hello."""
         return self._power
 
     def record_hello(self, hello: Hello) -> None:
-        """Record who is at the other end."""
+        """Record the identity of the host at the other end."""
         self._name = str(hello.host)
         self._power = hello.power
         self._data_centre = data_centre_of(hello.incarnation)
 
     def set_heartbeat_rate(self, frequent: bool) -> None:
-        """Tell the host often, or seldom, that this one lives."""
+        """Set whether heartbeats go out at the normal or at the slow interval."""
         self._state_interval = (
             self._timing.heartbeat_interval
             if frequent
@@ -72,22 +72,22 @@
         )
 
     def tell(self, message: PoolMessage) -> None:
-        """Send `message`, if the host is reachable."""
+        """Send `message`, or drop it if the host is unreachable."""
         self._pipe.tell(message)
 
     def tell_later(self, message: PoolMessage) -> None:
-        """Send `message` with the next one, at the latest with the next state."""
+        """Send `message` along with the next one, or else with the next heartbeat."""
         self._pipe.tell_later(message)
 
     def send_state(self) -> None:
-        """Tell what this host owns now."""
+        """Send which pool this host owns, and its load; this is the heartbeat."""
         self._pipe.tell(self._state())
 
     def _handle_message(self, message: PoolMessage) -> None:
         self._on_message(self, message)
 
     async def run(self) -> str:
-        """Serve until the connection ends; return why it did."""
+        """Serve until the connection ends; return the reason."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._send_states)
             reason = await self._pipe.run()
--- a/src/brasstray/host/requester_links.py
+++ b/src/brasstray/host/requester_links.py
@@ -1,4 +1,4 @@
-"""Hold the connections that other hosts have opened to this one."""
+"""Hold the connections on which other hosts request tasks from this one."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class RequesterLinks:
-    """Tell hosts what the owner of a pool has to tell, all or some of them."""
+    """Send messages of this host to all requesters or some of them."""
 
     def __init__(self, data_centre: DataCentreName) -> None:
         self._data_centre = data_centre
@@ -28,30 +28,33 @@
 
     @property
     def powers(self) -> dict[HostName, float]:
-        """Return how strong the hosts are that could take the pool over."""
+        """Return the power of each connected host that could take over the pool."""
         return {HostName(link.name): link.power for link in self._local_links()}
 
     def add(self, link: RequesterLink) -> None:
-        """Hold `link`."""
+        """Add `link`."""
         self._links.add(link)
 
     def discard(self, link: RequesterLink) -> None:
-        """Hold `link` no more."""
+        """Remove `link`, if present."""
         self._links.discard(link)
 
     def send_state(self, include: Callable[[str], bool] = lambda _: True) -> None:
-        """Tell what this host owns to each host whose name is `wanted`."""
+        """Send the state of this host to each host whose name `include` accepts."""
         for link in self._links:
             if include(link.name):
                 link.send_state()
 
     def tell_own_centre(self, message: PoolMessage) -> None:
-        """Send `message` to the hosts of the own data centre."""
+        """Send `message` to the requesters in the data centre of this host."""
         for link in self._local_links():
             link.tell(message)
 
     def announce_successors(self) -> None:
-        """Tell the hosts of the own data centre who takes the pool next."""
+        """Announce the order of succession in the data centre of this host.
+
+        Hosts that are not successors get heartbeats at the slow interval.
+        """
         message = Successors(hosts=rank_successors(self.powers))
         self.tell_own_centre(message)
         for link in self._local_links():
--- a/src/brasstray/host/succession.py
+++ b/src/brasstray/host/succession.py
@@ -1,4 +1,4 @@
-"""Rank the hosts that may own a pool, and tell when it had better change hands."""
+"""Rank the hosts that may take over a pool, and decide when to hand it over."""
 
 from __future__ import annotations
 
@@ -10,26 +10,27 @@
 
     from brasstray.job.ids import HostName
 
-# With the owner and two successors gone at once, as when a rack fails, the third is
-# left; hosts that are not named come after it, spread by chance.
+# The third successor remains if the owner and two successors fail together, as when a
+# rack fails. Hosts that are not named claim later, with random jitter.
 MAX_SUCCESSORS = 3
-# How much later each rank claims: enough to see the claim of the rank before it.
+# The additional delay of each rank: enough to see the claim of the previous rank.
 CLAIM_DELAY_STEP = timedelta(milliseconds=40)
-# A pool moves only to a host so many times as strong. Less gains little for the work of
-# a takeover, and measures of equal hosts must not make it move to and fro.
+# The least ratio of the new owner's power to the current one's. A smaller gain is not
+# worth a takeover, and power measured on equal hosts varies, which must not move a pool
+# back and forth.
 MIN_POWER_RATIO = 1.5
-# For how long an owner keeps a pool at least: hosts that come back one by one would
-# otherwise pass it on each time.
+# The least time before an owner hands a pool over. Otherwise, each of several hosts
+# that return one after the other would cause a handover.
 SHORTEST_TENURE = timedelta(seconds=3)
 
 
 class Succession:
-    """Hold who takes over a pool, as its last owner told.
+    """Hold the order of succession that the last owner of a pool announced.
 
-    Guards against two failures. Where twenty hosts see an owner die at once, all of
-    them would claim its pool, and all but one of the store's writes are wasted. And
-    where a quarter as strong a host gets the pool of a busy data centre, it reads ends
-    late, and callers wait for as long as it has the pool.
+    It prevents two failures. When twenty hosts see an owner die at the same moment, all
+    of them would claim its pool, and all but one of the writes to the store are wasted.
+    And a host with a quarter of the power that takes over the pool of a busy data
+    centre reads the ends of tasks late, so that callers wait while it is the owner.
     """
 
     def __init__(self, host: HostName) -> None:
@@ -37,17 +38,17 @@
         self._successors: tuple[HostName, ...] = ()
 
     def set_successors(self, hosts: tuple[HostName, ...]) -> None:
-        """Record who comes next, the first claims first."""
+        """Record the successors, in the order in which they claim the pool."""
         self._successors = hosts
 
     @property
     def claim_delay(self) -> timedelta:
-        """Return how long this host waits for those that come before it."""
+        """Return how long this host waits for the successors ranked before it."""
         return CLAIM_DELAY_STEP * self._rank
 
     @property
     def is_successor(self) -> bool:
-        """Return whether this host has a rank of its own."""
+        """Return whether this host is one of the successors."""
         return self._host in self._successors
 
     @property
@@ -60,7 +61,7 @@
 
 
 def rank_successors(powers: Mapping[HostName, float]) -> tuple[HostName, ...]:
-    """Return who is to take a pool over next, the strongest first."""
+    """Return the hosts to take over a pool, the most powerful first."""
     ranked = sorted(powers, key=lambda host: (-powers[host], host))
     return tuple(ranked[:MAX_SUCCESSORS])
 
@@ -68,7 +69,7 @@
 def should_hand_over(
     own_power: float, others: Iterable[float], held: timedelta
 ) -> bool:
-    """Return whether a pool held for `held` had better go to a stronger host."""
+    """Return whether to hand over a pool, owned for `held`, to a stronger host."""
     strongest = max(others, default=0.0)
     return held >= SHORTEST_TENURE and strongest >= own_power * MIN_POWER_RATIO
 
--- a/src/brasstray/host/suspension_detector.py
+++ b/src/brasstray/host/suspension_detector.py
@@ -1,4 +1,4 @@
-"""Detect that the process was suspended, while others acted for it."""
+"""Detect that the process was suspended, so that other hosts may have replaced it."""
 
 from __future__ import annotations
 
@@ -16,10 +16,11 @@
 
 
 class SuspensionDetector:
-    """Compare how long a pause took with how long it was meant to take.
+    """Compare the actual duration of each sleep with the requested one.
 
-    `uptime` goes on while the machine is suspended. `at_work` tells whether a pool is
-    owned or a job is at work, and `distrust` drops what was known.
+    `uptime` is a clock that advances while the machine is suspended. `is_active` tells
+    whether a pool is owned or a job is active; `on_suspended` discards state that may
+    be out of date.
     """
 
     def __init__(
@@ -39,7 +40,7 @@
         self._on_suspended = on_suspended
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Report late timers and suspensions until cancelled."""
         last = self._uptime()
         while True:
             timing = self._timing
--- a/src/brasstray/host/takeover_backoff.py
+++ b/src/brasstray/host/takeover_backoff.py
@@ -1,4 +1,4 @@
-"""Count takeovers of a pool, to wait longer where they follow one another."""
+"""Back off from claiming a pool that was taken over several times in a row."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
 
 
 class TakeoverBackoff:
-    """Remember the owners of the last seconds.
+    """Count the owners of a pool within the last `window`.
 
-    One death in that time is met at once. From the second takeover on the timeout
-    doubles: hosts that see one another badly, as in a partial partition, would
+    One takeover changes nothing. From the second takeover on the timeout
+    doubles: hosts with unreliable links, as in a partial partition, would
     otherwise take the pool from each other as fast as they can.
     """
 
     def __init__(self, window: timedelta) -> None:
         self._window = window
-        self._newest_token = 0
+        self._newest = 0
         self._times: deque[timedelta] = deque(maxlen=16)
 
     def record_owner(self, token: FencingToken, now: timedelta) -> None:
-        """Record the owner under `token`; an owner known before counts once."""
-        if token > self._newest_token:
-            self._newest_token = token
+        """Record the owner with `token`, unless it or a later one is known already."""
+        if token > self._newest:
+            self._newest = token
             self._times.append(now)
 
     def timeout_factor(self, now: timedelta) -> int:
-        """Return how many times as long as usual an owner is waited for."""
+        """Return the factor by which to multiply the wait for an owner."""
         while self._times and now - self._times[0] > self._window:
             self._times.popleft()
         doublings = max(0, len(self._times) - 1)
