--- a/src/brasstray/coordinator/coordinator.py
+++ b/src/brasstray/coordinator/coordinator.py
@@ -139,7 +139,7 @@
     def _choose_available_pool(
         self, batch: BatchId, pools: dict[PoolId, PoolLoad]
     ) -> PoolId | None:
-        """Return the best of `pools` that is not evacuated, or else an unlinked pool.
+        """Return the best reachable pool that is not evacuated, or else one to try.
 
         The best pool has the shortest wait, then the most free slots.
         """
@@ -226,7 +226,7 @@
             self._send_ready_steps(active, self._choose_pool(message.batch) or pool)
 
     def handle_tasks_returned(self, pool: PoolId, message: TasksReturned) -> None:
-        """Send tasks that `pool` returned unstarted to another pool, or end the job."""
+        """Send tasks that `pool` returned to another pool, or end the job."""
         active = self._active.get(message.batch)
         if active is None:
             return
--- a/src/brasstray/coordinator/pools.py
+++ b/src/brasstray/coordinator/pools.py
@@ -17,7 +17,7 @@
         """Return the pools whose owners are reachable, with their load."""
 
     def unasked(self) -> list[PoolId]:
-        """Return the pools that have no open link yet, but accept a request."""
+        """Return the pools that are not reachable yet, but accept requests."""
 
     def is_evacuated(self, pool: PoolId) -> bool:
         """Return whether `pool` is evacuated: its minions start no new tasks."""
--- a/src/brasstray/host/load_notifier.py
+++ b/src/brasstray/host/load_notifier.py
@@ -33,7 +33,7 @@
         self._reported = 0
 
     async def run(self) -> None:
-        """Report each change until cancelled."""
+        """Report changes until cancelled."""
         while True:
             owner = self._owner()
             if owner is None:
--- a/src/brasstray/host/pool_directory.py
+++ b/src/brasstray/host/pool_directory.py
@@ -171,7 +171,7 @@
         return found
 
     def unasked(self) -> list[PoolId]:
-        """Return the pools that have no open link yet, but accept a request."""
+        """Return the pools that are not reachable yet, but accept requests."""
         return [
             pool
             for pool, link in self._links.items()
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -207,7 +207,7 @@
 
     @property
     def unasked(self) -> set[PoolId]:
-        """Return the pools that have no open link yet, but accept a request."""
+        """Return the pools that are not reachable yet, but accept requests."""
         return set(self._directory.unasked())
 
     @property
--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -38,7 +38,7 @@
 # How long a request waits for a link that cannot be opened, about the duration of a
 # takeover.
 QUEUED_REQUEST_TIMEOUT = timedelta(milliseconds=300)
-# How long an owner that could not be reached gets no new requests.
+# After a connection to an owner fails, other owners get its requests for this long.
 UNREACHABLE_BACKOFF = timedelta(seconds=1)
 
 
@@ -120,12 +120,12 @@
         return now - self._learned_at
 
     def tell(self, message: PoolMessage) -> None:
-        """Send `message`; without a link, queue a request and drop anything else."""
+        """Send `message`; without a link, queue a new request and drop the rest."""
         match message:
             case RunTasks():
                 self._send_request(message)
             case StopTasks() if self._pipe is None:
-                # If it was sent after its job has ended, it would start orphaned runs.
+                # A request sent after its job has ended would start orphaned runs.
                 self._queued = [r for r in self._queued if r.batch != message.batch]
             case _ if self._pipe is not None:
                 self._pipe.tell(message)
