--- a/tests/host/load.py
+++ b/tests/host/load.py
@@ -43,11 +43,11 @@
         return self.outcomes().count(BatchOutcome.SUCCEEDED)
 
 
-async def under_load(system, strike, jobs=100, after=timedelta(seconds=1)):
+async def under_load(system, inject_fault, jobs=100, after=timedelta(seconds=1)):
     """Return the load after `strike` has been done in the middle of it."""
     async with anyio.create_task_group() as group:
         load = Load(system, group)
         group.start_soon(load.run, jobs)
         await system.clock.sleep(after)
-        await strike()
+        await inject_fault()
     return load
--- a/tests/host/storm.py
+++ b/tests/host/storm.py
@@ -24,13 +24,13 @@
 RESEND_PAUSE = timedelta(milliseconds=1_300)
 TIMEOUT = timedelta(seconds=4)
 # Connections that break off while their caller waits.
-BROKEN_SHARE = 0.15
-LEAST_HOSTS = 4
+BROKEN_CONNECTION_SHARE = 0.15
+MIN_HOSTS = 4
 # Most tasks outlive a takeover, which takes about half a second.
 DURATIONS_MS = (60, 200, 900, 900, 2_000)
 # Until every late call was carried out and every run has ended.
-LONGEST_DELAY = timedelta(seconds=3)
-AFTERMATH = timedelta(seconds=5)
+MAX_CALL_DELAY = timedelta(seconds=3)
+SETTLE_TIME = timedelta(seconds=5)
 
 
 def ms(count):
@@ -45,21 +45,21 @@
     random: Random
     late: float
     unanswered: float
-    strikes: tuple[str, ...]
+    faults: tuple[str, ...]
     length: timedelta
     answers: dict[str, list[BatchOutcome | None]] = field(default_factory=dict)
 
     async def run(self):
         for running in self.system.hosts.values():
-            self._disturb(running)
+            self._add_call_chaos(running)
         async with anyio.create_task_group() as group:
             group.start_soon(self._submit_all, group)
-            group.start_soon(self._strike_all, group)
-        await self.system.clock.sleep(AFTERMATH)
+            group.start_soon(self._inject_faults, group)
+        await self.system.clock.sleep(SETTLE_TIME)
 
-    def _disturb(self, running):
+    def _add_call_chaos(self, running):
         running.calls.chaos = CallChaos(
-            self.random, self.late, self.unanswered, LONGEST_DELAY
+            self.random, self.late, self.unanswered, MAX_CALL_DELAY
         )
 
     # Callers
@@ -75,27 +75,29 @@
             for index in range(width):
                 self.system.book.works[TaskName(BatchId(job), 0, index)] = work
             batch = Batch(BatchId(job), "", (Step(width, USUAL_NEEDS, work.duration),))
-            group.start_soon(self._call, batch)
+            group.start_soon(self._submit_with_resend, batch)
             await self.system.clock.sleep(ms(self.random.randint(100, 300)))
 
-    async def _call(self, batch):
+    async def _submit_with_resend(self, batch):
         """Submit a job; send it again through another host if there is no answer."""
-        tries = self.answers[str(batch.id)] = []
+        outcomes = self.answers[str(batch.id)] = []
         name = self.random.choice(sorted(self.system.hosts))
-        tries.append(await self._try(name, batch))
-        if tries[0] not in (None, BatchOutcome.UNKNOWN):
+        outcomes.append(await self._submit_once(name, batch))
+        if outcomes[0] not in (None, BatchOutcome.UNKNOWN):
             return
         await self.system.clock.sleep(RESEND_PAUSE)
         centre = name.partition("-")[0]
         others = [n for n in sorted(self.system.hosts) if n != name]
-        near = [n for n in others if n.startswith(centre)]
-        tries.append(await self._try(self.random.choice(near or others), batch))
+        same_centre = [n for n in others if n.startswith(centre)]
+        outcomes.append(
+            await self._submit_once(self.random.choice(same_centre or others), batch)
+        )
 
-    async def _try(self, name, batch):
+    async def _submit_once(self, name, batch):
         running = self.system.hosts[name]
         outcome = None
         wait = TIMEOUT
-        if self.random.random() < BROKEN_SHARE:
+        if self.random.random() < BROKEN_CONNECTION_SHARE:
             wait = ms(self.random.randint(50, 800))
         with anyio.move_on_after(wait.total_seconds()) as scope:
             running.callers.append(scope)
@@ -105,13 +107,13 @@
 
     # Strikes
 
-    async def _strike_all(self, group):
+    async def _inject_faults(self, group):
         end = self.system.clock.monotonic() + self.length
         while self.system.clock.monotonic() < end:
             await self.system.clock.sleep(ms(self.random.randint(50, 900)))
             # Each strike ends by itself, and the next ones overlap with it.
-            strike = getattr(self, "_" + self.random.choice(self.strikes))
-            group.start_soon(strike)
+            fault = getattr(self, "_" + self.random.choice(self.faults))
+            group.start_soon(fault)
 
     def _owner(self):
         """Return the owner of a pool, if one is known."""
@@ -124,7 +126,7 @@
     async def _kill(self):
         """Kill an owner; it is started again after a while."""
         name = self._owner()
-        if name is None or len(self.system.hosts) < LEAST_HOSTS:
+        if name is None or len(self.system.hosts) < MIN_HOSTS:
             return
         self.system.kill(name)
         await self.system.clock.sleep(ms(self.random.randint(300, 3_000)))
@@ -132,7 +134,7 @@
 
     def _restart(self, name):
         if name not in self.system.hosts:
-            self._disturb(self.system.start(name, name.partition("-")[0]))
+            self._add_call_chaos(self.system.start(name, name.partition("-")[0]))
 
     async def _kill_twice(self):
         """Kill an owner and, while its successor recovers, that one as well."""
@@ -143,7 +145,7 @@
 
     async def _drain(self):
         name = self._owner()
-        if name is None or len(self.system.hosts) < LEAST_HOSTS:
+        if name is None or len(self.system.hosts) < MIN_HOSTS:
             return
         self.system.hosts[name].host.drain()
         await self.system.clock.sleep(ms(1_500))
@@ -228,4 +230,4 @@
     ),
 }
 # The shares of calls to minions that are carried out late, and unanswered.
-DISTURBANCES = ((0.3, 0.05), (0.1, 0.1), (0.0, 0.25), (0.4, 0.0))
+CALL_FAULTS = ((0.3, 0.05), (0.1, 0.1), (0.0, 0.25), (0.4, 0.0))
--- a/tests/host/test_flapping.py
+++ b/tests/host/test_flapping.py
@@ -35,17 +35,17 @@
 
 
 @pytest.mark.parametrize("flapping", [1, 2])
-@pytest.mark.parametrize(("takes", "interval"), [(60, 25), (200, 55)])
-def test_no_job_is_given_up_for_minions_that_flap(
-    play_pools, flapping, takes, interval
+@pytest.mark.parametrize(("duration_ms", "interval"), [(60, 25), (200, 55)])
+def test_no_job_fails_because_of_flapping_minions(
+    play_pools, flapping, duration_ms, interval
 ):
     # Each time a minion went down, what ran there was waited for until its lease was
     # over. The first time that was run elsewhere. From then on an order that had no
     # answer might still have extended a lease, so that the jobs were given up in doubt:
     # 39 jobs on a day with 21 such minions of 176, all of them sent there after it had
     # been seen that the minion comes and goes.
-    async def story(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(takes))
+    async def scenario(system):
+        system.book.usual = Work(USUAL_NEEDS, ms(duration_ms))
         names = [entry.id for entry in system.listed[:flapping]]
         async with anyio.create_task_group() as group:
             load = Load(system, group, interval=ms(interval))
@@ -54,30 +54,30 @@
             group.start_soon(flap, system, names, 4)
         return load
 
-    load, system = play_pools(story, SIZE)
+    load, system = play_pools(scenario, SIZE)
     assert system.book.broken == []
     assert load.outcomes() == [BatchOutcome.SUCCEEDED] * 160
 
 
-def test_minions_that_come_back_together_are_used_at_once(play_pools):
+def test_minions_that_return_together_are_not_suspected(play_pools):
     # The host that orders the minions was cut off from them for a second: it has lost
     # nearly all of them at once, which speaks against its own lines. If it suspected
     # them, callers would be refused for another second while every minion is idle.
-    async def story(system):
+    async def scenario(system):
         names = [entry.id for entry in system.listed]
         await flap(system, names, 1)
         owner = system.hosts[system.owner()].host.owner
         return [minion.health.suspected for minion in owner.minions]
 
-    suspected, _ = play_pools(story, SIZE)
+    suspected, _ = play_pools(scenario, SIZE)
     assert suspected == [False] * 8
 
 
 @pytest.mark.parametrize(("silent_ms", "suspects"), [(900, 1), (150, 0)])
-def test_only_a_long_silence_speaks_against_a_minion(play_pools, silent_ms, suspects):
+def test_only_a_long_silence_makes_a_minion_suspected(play_pools, silent_ms, suspects):
     # Where answers get lost, a minion is silent now and then for a moment. Nothing runs
     # out there, so nothing speaks against it.
-    async def story(system):
+    async def scenario(system):
         owner = system.hosts[system.owner()]
         name = system.listed[0].id
         owner.calls.cut.add(name)
@@ -86,5 +86,5 @@
         await system.clock.sleep(ms(600))
         return sum(minion.health.suspected for minion in owner.host.owner.minions)
 
-    count, _ = play_pools(story, SIZE)
+    count, _ = play_pools(scenario, SIZE)
     assert count == suspects
--- a/tests/host/test_leaving.py
+++ b/tests/host/test_leaving.py
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize(
-    ("left", "takes", "outcome", "reason"),
+    ("left_ms", "duration_ms", "outcome", "reason"),
     [
         (1_500, 300, BatchOutcome.SUCCEEDED, None),
         (200, 300, BatchOutcome.NOT_RUN, GiveUpReason.STOPPING),
@@ -34,37 +34,37 @@
     ],
 )
 def test_a_request_on_an_open_connection_is_run_in_time_or_refused(
-    play_pools, left, takes, outcome, reason
+    play_pools, left_ms, duration_ms, outcome, reason
 ):
     # A host was told to leave. A client keeps its connection and sends another request,
     # shortly before the host has to be gone. It must have an answer: the connection's
     # end without one would be a lost request. One that cannot be done in time has not
     # run, and its caller is told at once, while it can still go elsewhere.
-    async def story(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(takes))
+    async def scenario(system):
+        system.book.usual = Work(USUAL_NEEDS, ms(duration_ms))
         host = system.hosts[system.other()].host
         host.drain(GRACE)
-        await system.clock.sleep(GRACE - ms(left))
+        await system.clock.sleep(GRACE - ms(left_ms))
         began = system.clock.monotonic()
-        batch = usual_batch("a" * 16, 2, ms(takes))
+        batch = usual_batch("a" * 16, 2, ms(duration_ms))
         result = await host.run_job(batch, usual_queue(), TIMEOUT)
         return result, system.clock.monotonic() - began
 
-    (result, took), system = play_pools(story)
+    (result, took), system = play_pools(scenario)
     assert (result.outcome, result.reason) == (outcome, reason)
-    assert took <= max(ms(0), ms(left))
+    assert took <= max(ms(0), ms(left_ms))
     if outcome is BatchOutcome.NOT_RUN:
         assert took == ms(0)
         assert system.book.starts == []
 
 
-def test_jobs_at_work_are_answered_before_a_host_has_to_be_gone(play_pools):
+def test_active_jobs_are_answered_before_a_draining_host_stops(play_pools):
     # A host that leaves has a job that takes longer than expected, and one that waits
     # behind it. Both callers have an answer by the time that the host may still use,
     # and the one whose job was never started may send it again.
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=1)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(10_000))
         host = system.hosts[system.other()].host
         found = {}
@@ -86,7 +86,7 @@
             for key, value in found.items()
         }
 
-    found, _ = play_pools(story, size)
+    found, _ = play_pools(scenario, size)
     assert found["a"] is BatchOutcome.UNKNOWN
     assert found["b"] is BatchOutcome.NOT_RUN
     assert max(found["a at"], found["b at"]) <= GRACE + ms(150)
--- a/tests/host/test_links.py
+++ b/tests/host/test_links.py
@@ -16,7 +16,7 @@
 SECOND = timedelta(seconds=1)
 
 
-def links_of(system):
+def count_links(system):
     """Return how many links other hosts have opened, in all."""
     return sum(len(running.host.links) for running in system.hosts.values())
 
@@ -30,11 +30,11 @@
     # the owners of a loaded fleet answered too late.
     size = PoolSystemSize(data_centres=centres, hosts_each=hosts, minions_each=2)
 
-    async def story(system):
+    async def scenario(system):
         await system.clock.sleep(SECOND)
-        return links_of(system)
+        return count_links(system)
 
-    links, _ = play_pools(story, size)
+    links, _ = play_pools(scenario, size)
     assert links == centres * (hosts - 1) + centres * (centres - 1)
 
 
@@ -47,52 +47,52 @@
     # seven times a second each way, an owner and all others three or four times.
     size = PoolSystemSize(data_centres=centres, hosts_each=hosts, minions_each=2)
 
-    async def story(system):
+    async def scenario(system):
         await system.clock.sleep(SECOND)
         before = system.network.sent
         await system.clock.sleep(10 * SECOND)
         return (system.network.sent - before) / 10 / (centres * hosts)
 
-    a_host, _ = play_pools(story, size)
-    assert a_host < 14
+    per_host, _ = play_pools(scenario, size)
+    assert per_host < 14
 
 
-def test_a_link_is_opened_for_tasks_that_go_away_and_closed_after_them(play_pools):
+def test_a_link_is_opened_for_forwarded_tasks_and_closed_later(play_pools):
     # A data centre is full, and its owner names another that has room. The host that
     # has the job opens a link there at once, and lets it go some seconds later.
     size = PoolSystemSize(data_centres=2, hosts_each=3, minions_each=4)
 
-    async def story(system):
+    async def scenario(system):
         name = system.other(0)
-        calm = links_of(system)
+        idle = count_links(system)
         async with anyio.create_task_group() as group:
             for number in range(6):
                 job = usual_batch(f"{number:016x}", 3)
                 group.start_soon(system.submit, name, job)
             await system.clock.sleep(SECOND / 20)
-            loaded = links_of(system)
-        before_idle = links_of(system)
+            busy = count_links(system)
+        before_idle = count_links(system)
         await system.clock.sleep(IDLE_TIMEOUT + SECOND)
-        return loaded - calm, before_idle - calm, links_of(system) - calm
+        return busy - idle, before_idle - idle, count_links(system) - idle
 
-    found, system = play_pools(story, size)
+    found, system = play_pools(scenario, size)
     assert found == (1, 1, 0)
     assert len(system.book.starts) == 18
     assert system.book.broken == []
 
 
-def test_jobs_go_elsewhere_while_the_own_pool_has_no_owner(play_pools):
+def test_jobs_go_to_other_pools_while_their_own_has_no_owner(play_pools):
     # The owner of a data centre dies while the store is away, so that nobody can take
     # its pool. Hosts there have no link to any other owner, and must open one for the
     # jobs that come: callers wait for milliseconds, and none is refused.
-    async def story(system):
-        async def strike():
+    async def scenario(system):
+        async def inject_fault():
             system.store.down = True
             system.kill(system.owner(0))
 
-        return await under_load(system, strike, jobs=60)
+        return await under_load(system, inject_fault, jobs=60)
 
-    load, system = play_pools(story)
+    load, system = play_pools(scenario)
     late = [
         result.outcome
         for name, result, took in load.results.values()
@@ -105,7 +105,7 @@
 def test_a_job_is_not_run_if_no_link_could_be_opened(play_pools):
     # A data centre is cut off and its own pool has no owner. What its hosts ask of
     # others never leaves them, so callers are told at once that nothing has run.
-    async def story(system):
+    async def scenario(system):
         system.store.down = True
         system.kill(system.owner(0))
         names = [name for name in system.hosts if name.startswith("dc0")]
@@ -115,7 +115,7 @@
         result = await system.submit(names[0], usual_batch("a" * 16, 2))
         return result.outcome, system.clock.monotonic() - began
 
-    (outcome, took), system = play_pools(story)
+    (outcome, took), system = play_pools(scenario)
     assert outcome is BatchOutcome.NOT_RUN
     assert took < SECOND
     assert system.book.starts == []
@@ -125,7 +125,7 @@
     # The own pool has no owner, so a job is sent to another data centre, and the link
     # there takes a while to open. Its caller leaves meanwhile. The request must not go
     # out after all: nobody would ever stop what it starts.
-    async def story(system):
+    async def scenario(system):
         system.store.down = True
         system.kill(system.owner(0))
         system.network.opening = SECOND / 5
@@ -135,17 +135,17 @@
             await system.submit(name, usual_batch("a" * 16, 2))
         await system.clock.sleep(2 * SECOND)
 
-    _, system = play_pools(story)
+    _, system = play_pools(scenario)
     assert system.book.starts == []
 
 
-def test_tasks_go_where_there_is_room_while_the_link_there_opens(play_pools):
+def test_tasks_go_to_a_pool_with_free_slots_while_its_link_opens(play_pools):
     # A burst fills a data centre, and its owner sends tasks of many jobs to another.
     # The first of them opens the link, and the others must not be sent back to wait at
     # the full pool while places stand empty.
     size = PoolSystemSize(data_centres=2, hosts_each=3, minions_each=4)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, SECOND / 2)
         name = system.other(0)
         system.network.opening = SECOND / 20
@@ -157,17 +157,17 @@
                 await system.clock.sleep(SECOND / 1_000)
         return system.clock.monotonic() - began
 
-    took, system = play_pools(story, size)
+    took, system = play_pools(scenario, size)
     assert took < SECOND * 0.7
     assert len(system.book.starts) == 12
     assert system.book.broken == []
 
 
-def test_tasks_from_before_a_link_was_lost_are_claimed_beside_new_ones(play_pools):
+def test_tasks_are_claimed_over_a_new_link_alongside_new_ones(play_pools):
     # A host has a job at another pool when the link there is reset, and another job
     # follows before the link is open again. Both must end well: the first by a claim,
     # the second by its own request, and no task is at work twice.
-    async def story(system):
+    async def scenario(system):
         system.store.down = True
         system.kill(system.owner(0))
         await system.clock.sleep(SECOND)
@@ -189,6 +189,6 @@
             group.start_soon(submit, "b")
         return [result.outcome for result in results]
 
-    outcomes, system = play_pools(story)
+    outcomes, system = play_pools(scenario)
     assert outcomes == [BatchOutcome.SUCCEEDED] * 2
     assert system.book.broken == []
--- a/tests/host/test_load_sharing.py
+++ b/tests/host/test_load_sharing.py
@@ -22,7 +22,7 @@
     # takes 60 ms, and a heartbeat comes every 120 ms.
     size = PoolSystemSize(data_centres=2, minions_each=1)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(600))
         async with anyio.create_task_group() as group:
             for job, host in (("a" * 16, system.other(0)), ("b" * 16, system.other(1))):
@@ -40,6 +40,6 @@
                 await system.clock.sleep(ms(1))
             return system.clock.monotonic() - began
 
-    took, system = play_pools(story, size)
+    took, system = play_pools(scenario, size)
     assert took < ms(30)
     assert system.book.broken == []
--- a/tests/host/test_orphaned_tasks.py
+++ b/tests/host/test_orphaned_tasks.py
@@ -24,11 +24,11 @@
 
 @pytest.mark.parametrize("cancelled_after", [20, 500, 1_500])
 @pytest.mark.parametrize("then", ["nothing", "owner killed", "coordinator killed"])
-def test_a_start_that_comes_late_is_stopped(play_pools, cancelled_after, then):
+def test_a_late_start_is_stopped(play_pools, cancelled_after, then):
     # A minion leaves an order unanswered and carries it out two seconds later. By then
     # the caller has cancelled the job, and its host or the one that ordered the start
     # may be gone. Whatever the minion then begins must not run on.
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, 60 * SECOND)
         owner, name = system.owner(), system.other()
         calls = system.hosts[owner].calls
@@ -47,17 +47,17 @@
             group.cancel_scope.cancel()
         return left
 
-    left, system = play_pools(story, SIZE)
+    left, system = play_pools(scenario, SIZE)
     assert left == set()
     assert system.book.broken == []
 
 
 @pytest.mark.parametrize("removed", ["owner", "coordinator", "both"])
-def test_a_task_whose_starter_was_removed_is_stopped(play_pools, removed):
+def test_a_task_is_stopped_once_the_host_that_started_it_is_gone(play_pools, removed):
     # The host that had a task started is removed for good, and the job is cancelled or
     # its caller is gone with it. Whoever orders the minions next finds a run that
     # nobody asks for, and stops it.
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, 60 * SECOND)
         owner, name = system.owner(), system.other()
         batch = usual_batch("b" * 16, 2, 2 * SECOND)
@@ -76,7 +76,7 @@
             group.cancel_scope.cancel()
         return begun, left
 
-    (begun, left), system = play_pools(story, SIZE)
+    (begun, left), system = play_pools(scenario, SIZE)
     assert begun == 2
     assert left == set()
     assert system.book.broken == []
--- a/tests/host/test_overload.py
+++ b/tests/host/test_overload.py
@@ -62,7 +62,7 @@
     assert len(started) == len(served)
 
 
-def test_a_refused_caller_is_told_when_to_come_back(play_pools):
+def test_a_refused_caller_is_told_when_to_retry(play_pools):
     results, _ = play_pools(lambda system: overload(system, 2.0), SIZE)
     waits = [r.retry_after for r, _ in results if r.outcome is BatchOutcome.NOT_RUN]
     assert waits
--- a/tests/host/test_owners_killed_in_a_row.py
+++ b/tests/host/test_owners_killed_in_a_row.py
@@ -36,7 +36,7 @@
 def test_orphaned_runs_end_before_the_job_is_sent_again(play_pools, tenure_ms):
     """A job sent again elsewhere does not run beside its orphaned runs."""
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(4_000))
         batch = usual_batch(JOB, 2, ms(4_000))
         first = system.owner()
@@ -52,7 +52,7 @@
             assert system.clock.monotonic() - began == RESEND_PAUSE
             await submit(system, system.owner(1), batch, anyio.CancelScope())
 
-    _, system = play_pools(story, SIZE)
+    _, system = play_pools(scenario, SIZE)
     assert system.book.broken == []
 
 
--- a/tests/host/test_starting.py
+++ b/tests/host/test_starting.py
@@ -12,7 +12,7 @@
 
 
 @pytest.mark.parametrize(
-    ("store_down", "asked_after", "known", "longest"),
+    ("store_down", "asked_after", "known", "max_ms"),
     [
         (False, 0, True, 50),
         (False, 100, True, 0),
@@ -23,13 +23,13 @@
         (True, 500, False, 0),
     ],
 )
-def test_a_request_waits_for_the_first_configuration_a_moment(
-    play_pools, store_down, asked_after, known, longest
+def test_a_request_waits_briefly_for_the_first_configuration(
+    play_pools, store_down, asked_after, known, max_ms
 ):
     # All hosts of a data centre lost power and are back. Callers come to each as soon
     # as it listens, some 10 ms before the store has told it which requests there are:
     # 26 to 44 of them were turned away in that quarter of a second on a users' day.
-    async def story(system):
+    async def scenario(system):
         name = system.other()
         system.kill(name)
         system.store.down = store_down
@@ -39,6 +39,6 @@
         found = await host.first_config()
         return found is not None, system.clock.monotonic() - began
 
-    (found, took), _ = play_pools(story)
+    (found, took), _ = play_pools(scenario)
     assert found is known
-    assert took <= ms(longest)
+    assert took <= ms(max_ms)
--- a/tests/host/test_succession.py
+++ b/tests/host/test_succession.py
@@ -45,7 +45,7 @@
         ({}, ()),
     ],
 )
-def test_the_strongest_come_first(powers, first):
+def test_successors_are_ranked_by_power(powers, first):
     assert rank_successors(powers) == first
 
 
@@ -67,33 +67,33 @@
     return int(name.rpartition("-h")[2]) < FLEET.strong_each
 
 
-def takeovers(system):
+def current_token(system):
     return system.store.entries("brasstray/pools/")[0].version
 
 
-def test_strong_hosts_own_the_pool_and_it_stays_there(play_pools):
+def test_a_strong_host_takes_over_the_pool_and_keeps_it(play_pools):
     # All hosts start within a moment, and whoever comes first owns the pool. A weak
     # host would read ends late all day, so it passes the pool on, once.
-    async def story(system):
+    async def scenario(system):
         await system.clock.sleep(3 * SHORTEST_TENURE)
-        first, moves = system.owner(), takeovers(system)
+        first, first_token = system.owner(), current_token(system)
         await system.clock.sleep(10 * SHORTEST_TENURE)
-        return first, system.owner(), takeovers(system) - moves
+        return first, system.owner(), current_token(system) - first_token
 
-    (first, later, moves), _ = play_pools(story, FLEET)
+    (first, later, takeovers), _ = play_pools(scenario, FLEET)
     assert is_strong(first)
     assert later == first
-    assert moves == 0
+    assert takeovers == 0
 
 
 @pytest.mark.parametrize("killed", [1, 2])
-def test_strong_hosts_die_and_one_claim_takes_the_pool(play_pools, killed):
+def test_one_claim_is_written_when_strong_hosts_die(play_pools, killed):
     # The owner dies, alone or with its first successor, while eleven hosts look on. If
     # all of them claimed, all but one of the writes would be wasted, and the pool might
     # end up at a weak host.
-    async def story(system):
+    async def scenario(system):
         await system.clock.sleep(3 * SHORTEST_TENURE)
-        before = takeovers(system)
+        before = current_token(system)
         for _ in range(killed):
             strong = sorted(name for name in system.hosts if is_strong(name))
             owner = system.owner()
@@ -102,9 +102,9 @@
                 system.kill(next(name for name in strong if name != owner))
                 break
         await system.clock.sleep(SECOND)
-        return system.owner(), takeovers(system) - before
+        return system.owner(), current_token(system) - before
 
-    (owner, claims), _ = play_pools(story, FLEET)
+    (owner, claims), _ = play_pools(scenario, FLEET)
     assert is_strong(owner)
     assert claims == 1
 
@@ -112,7 +112,7 @@
 def test_a_pool_moves_under_load_and_no_job_is_lost(play_pools):
     # All strong hosts are gone and a weak one owns the pool. They come back, and the
     # pool moves to one of them while callers wait: every job is done.
-    async def story(system):
+    async def scenario(system):
         for number in range(3):
             system.kill(f"dc0-h{number}")
         await system.clock.sleep(SECOND)
@@ -127,7 +127,7 @@
             strong = system.owner()
         return load, weak, strong
 
-    (load, weak, strong), system = play_pools(story, FLEET)
+    (load, weak, strong), system = play_pools(scenario, FLEET)
     assert not is_strong(weak)
     assert is_strong(strong)
     assert load.outcomes() == [BatchOutcome.SUCCEEDED] * 250
@@ -139,13 +139,13 @@
     # successors are known, so that callers of other hosts lose nothing but time.
     size = PoolSystemSize(data_centres=3, hosts_each=4, minions_each=4, strong_each=2)
 
-    async def story(system):
-        async def strike():
+    async def scenario(system):
+        async def inject_fault():
             for centre in range(3):
                 system.kill(system.owner(centre))
 
-        return await under_load(system, strike, jobs=150)
+        return await under_load(system, inject_fault, jobs=150)
 
-    load, system = play_pools(story, size)
+    load, system = play_pools(scenario, size)
     assert system.book.broken == []
     assert set(load.outcomes()) == {BatchOutcome.SUCCEEDED}
--- a/tests/host/test_takeover_storms.py
+++ b/tests/host/test_takeover_storms.py
@@ -7,7 +7,7 @@
 from random import Random
 
 import pytest
-from tests.host.storm import DISTURBANCES, MIXES, SIZE, Storm
+from tests.host.storm import CALL_FAULTS, MIXES, SIZE, Storm
 
 from brasstray.batch.outcome import BatchOutcome
 
@@ -17,7 +17,7 @@
 
 
 @pytest.mark.parametrize("seed", range(SEEDS))
-@pytest.mark.parametrize(("late", "unanswered"), DISTURBANCES)
+@pytest.mark.parametrize(("late", "unanswered"), CALL_FAULTS)
 @pytest.mark.parametrize("mix", MIXES)
 def test_storm_of_takeovers_runs_no_task_twice(play_pools, mix, late, unanswered, seed):
     """No second run, overfull minion or untrue "not run" in overlapping faults."""
@@ -36,19 +36,19 @@
     play_and_check(play_pools, storm, seed=seed, schedule=seed)
 
 
-def play_and_check(play_pools, drawn, **seeds):
-    async def story(system):
-        storm = Storm(system, *drawn)
+def play_and_check(play_pools, storm_args, **seeds):
+    async def scenario(system):
+        storm = Storm(system, *storm_args)
         await storm.run()
         return storm
 
-    storm, system = play_pools(story, SIZE, **seeds)
+    storm, system = play_pools(scenario, SIZE, **seeds)
     assert system.book.broken == []
     started = {name.batch for name in system.book.starts}
     assert started
     refused = {
         job
-        for job, tries in storm.answers.items()
-        if all(outcome is BatchOutcome.NOT_RUN for outcome in tries)
+        for job, outcomes in storm.answers.items()
+        if all(outcome is BatchOutcome.NOT_RUN for outcome in outcomes)
     }
     assert not refused & started
--- a/tests/host/test_takeover_timeout.py
+++ b/tests/host/test_takeover_timeout.py
@@ -37,29 +37,29 @@
 
 
 @pytest.mark.parametrize(
-    ("fate", "slowest"),
+    ("event", "max_ms"),
     [("killed", 200), ("restarted", 200), ("resigns", 300), ("silent", 700)],
 )
-def test_a_lost_owner_is_replaced_soon(play_pools, fate, slowest):
+def test_a_lost_owner_is_replaced_soon(play_pools, event, max_ms):
     # The host that orders the minions of a data centre dies, is started again, wants
     # to leave or falls silent. Runs live for 0.8 s after the last look at their minion,
     # so another host has to own the pool before.
-    async def story(system):
+    async def scenario(system):
         name = system.owner()
         began = system.clock.monotonic()
-        if fate == "silent":
+        if event == "silent":
             system.network.cut({name: 1})
             system.store.cut.add(name)
-        elif fate == "resigns":
+        elif event == "resigns":
             system.hosts[name].host.drain()
         else:
             system.kill(name)
-            if fate == "restarted":
+            if event == "restarted":
                 system.start(name, "dc0")
         before = system.store.entries("brasstray/pools/dc0")[0].version
         while system.store.entries("brasstray/pools/dc0")[0].version == before:
             await system.clock.sleep(ms(5))
         return system.clock.monotonic() - began
 
-    took, _ = play_pools(story)
-    assert took <= ms(slowest)
+    took, _ = play_pools(scenario)
+    assert took <= ms(max_ms)
