--- a/tests/host/load.py
+++ b/tests/host/load.py
@@ -1,4 +1,4 @@
-"""Submit jobs one after the other while a story goes on."""
+"""Submit jobs at a fixed interval during a test scenario."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 
 class Load:
-    """Submit a job to each living host in turn, and keep the results in order."""
+    """Submit jobs to the running hosts in turn, and collect the results."""
 
     def __init__(self, system, group, interval=timedelta(milliseconds=40), width=3):
         self._system = system
@@ -44,7 +44,7 @@
 
 
 async def under_load(system, inject_fault, jobs=100, after=timedelta(seconds=1)):
-    """Return the load after `strike` has been done in the middle of it."""
+    """Return a load of `jobs` in the middle of which `inject_fault` was called."""
     async with anyio.create_task_group() as group:
         load = Load(system, group)
         group.start_soon(load.run, jobs)
--- a/tests/host/storm.py
+++ b/tests/host/storm.py
@@ -1,4 +1,4 @@
-"""Draw storms of takeovers with late orders, evacuations and callers that resend."""
+"""Generate random storms of takeovers, late calls, evacuations and resent jobs."""
 
 from __future__ import annotations
 
@@ -20,15 +20,16 @@
 SIZE = PoolSystemSize(
     data_centres=2, hosts_each=3, minions_each=3, minion_clock_rate=0.98
 )
-# What callers of the users' programs wait before they send a job again.
+# How long the callers in the users' programs wait before they submit a job again.
 RESEND_PAUSE = timedelta(milliseconds=1_300)
 TIMEOUT = timedelta(seconds=4)
-# Connections that break off while their caller waits.
+# The share of connections that break while their caller waits.
 BROKEN_CONNECTION_SHARE = 0.15
 MIN_HOSTS = 4
-# Most tasks outlive a takeover, which takes about half a second.
+# Most of these are longer than a takeover, which takes about half a second.
 DURATIONS_MS = (60, 200, 900, 900, 2_000)
-# Until every late call was carried out and every run has ended.
+# Delays of late calls, and the time after which all of them were carried out and every
+# run has ended.
 MAX_CALL_DELAY = timedelta(seconds=3)
 SETTLE_TIME = timedelta(seconds=5)
 
@@ -39,7 +40,7 @@
 
 @dataclass
 class Storm:
-    """Strike a system at random while callers submit jobs, all drawn from one seed."""
+    """Inject random faults while callers submit jobs, all drawn from one seed."""
 
     system: object
     random: Random
@@ -79,7 +80,7 @@
             await self.system.clock.sleep(ms(self.random.randint(100, 300)))
 
     async def _submit_with_resend(self, batch):
-        """Submit a job; send it again through another host if there is no answer."""
+        """Submit a job, and again through another host if its outcome is not known."""
         outcomes = self.answers[str(batch.id)] = []
         name = self.random.choice(sorted(self.system.hosts))
         outcomes.append(await self._submit_once(name, batch))
@@ -105,18 +106,18 @@
         running.callers.remove(scope)
         return outcome
 
-    # Strikes
+    # Faults
 
     async def _inject_faults(self, group):
         end = self.system.clock.monotonic() + self.length
         while self.system.clock.monotonic() < end:
             await self.system.clock.sleep(ms(self.random.randint(50, 900)))
-            # Each strike ends by itself, and the next ones overlap with it.
+            # Each fault ends by itself, and may overlap with the next ones.
             fault = getattr(self, "_" + self.random.choice(self.faults))
             group.start_soon(fault)
 
     def _owner(self):
-        """Return the owner of a pool, if one is known."""
+        """Return the owner of a random pool, or None if it has none."""
         centre = self.random.randrange(SIZE.data_centres)
         try:
             return self.system.owner(centre)
@@ -124,7 +125,7 @@
             return None
 
     async def _kill(self):
-        """Kill an owner; it is started again after a while."""
+        """Kill an owner, and restart it after a while."""
         name = self._owner()
         if name is None or len(self.system.hosts) < MIN_HOSTS:
             return
@@ -137,7 +138,7 @@
             self._add_call_chaos(self.system.start(name, name.partition("-")[0]))
 
     async def _kill_twice(self):
-        """Kill an owner and, while its successor recovers, that one as well."""
+        """Kill an owner, and then its successor while that one recovers."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._kill)
             await self.system.clock.sleep(ms(self.random.randint(60, 700)))
@@ -170,7 +171,7 @@
         self.system.resume(centre)
 
     async def _silence(self):
-        """Cut some hosts off from a minion for a while."""
+        """Disconnect some hosts from a minion for a while."""
         minion = self.random.choice(sorted(self.system.places))
         hosts = [
             running
@@ -184,7 +185,7 @@
             running.calls.cut.discard(minion)
 
     async def _cut(self):
-        """Cut a host, or a whole data centre, off from all others and the store."""
+        """Disconnect a host or a whole data centre from all others and the store."""
         if self.random.random() < 0.5:
             names = {self.random.choice(sorted(self.system.hosts))}
         else:
@@ -203,7 +204,7 @@
         self.system.store.cut.difference_update(names)
 
     async def _unlist(self):
-        """Let a minion's entry expire, and bring it back."""
+        """Remove a minion from the list, and add it again."""
         entry = self.random.choice(self.system.listed or [None])
         if entry is None:
             return
@@ -229,5 +230,5 @@
         "unlist",
     ),
 }
-# The shares of calls to minions that are carried out late, and unanswered.
+# Pairs: the share of calls to minions that are carried out late, and unanswered.
 CALL_FAULTS = ((0.3, 0.05), (0.1, 0.1), (0.0, 0.25), (0.4, 0.0))
--- a/tests/host/test_flapping.py
+++ b/tests/host/test_flapping.py
@@ -1,7 +1,7 @@
-"""Check that minions that come and go cost few jobs.
+"""Check that minions that flap cause few jobs to fail.
 
-The pattern is a part of the minions that are down and up by turns of about a second,
-the same processes each time, under a steady load with room elsewhere.
+Some of the minions are alternately down and up for about a second each, with the same
+processes each time, under a steady load while other minions have free slots.
 """
 
 from __future__ import annotations
@@ -39,11 +39,11 @@
 def test_no_job_fails_because_of_flapping_minions(
     play_pools, flapping, duration_ms, interval
 ):
-    # Each time a minion went down, what ran there was waited for until its lease was
-    # over. The first time that was run elsewhere. From then on an order that had no
-    # answer might still have extended a lease, so that the jobs were given up in doubt:
-    # 39 jobs on a day with 21 such minions of 176, all of them sent there after it had
-    # been seen that the minion comes and goes.
+    # Guards against jobs with an unknown outcome on flapping minions. When a minion
+    # went down, its runs were waited for until their leases expired. The first time,
+    # they were then run elsewhere. After that, an unanswered call might still have
+    # extended a lease, so their jobs were given up: 39 jobs on a day with 21 flapping
+    # minions of 176, all started there after the minion was known to flap.
     async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(duration_ms))
         names = [entry.id for entry in system.listed[:flapping]]
@@ -60,9 +60,9 @@
 
 
 def test_minions_that_return_together_are_not_suspected(play_pools):
-    # The host that orders the minions was cut off from them for a second: it has lost
-    # nearly all of them at once, which speaks against its own lines. If it suspected
-    # them, callers would be refused for another second while every minion is idle.
+    # The owner is cut off from its minions for a second. As it loses nearly all of them
+    # at once, its own network is at fault. If it suspected the minions, callers would
+    # be refused for another second while every minion is idle.
     async def scenario(system):
         names = [entry.id for entry in system.listed]
         await flap(system, names, 1)
@@ -75,8 +75,8 @@
 
 @pytest.mark.parametrize(("silent_ms", "suspects"), [(900, 1), (150, 0)])
 def test_only_a_long_silence_makes_a_minion_suspected(play_pools, silent_ms, suspects):
-    # Where answers get lost, a minion is silent now and then for a moment. Nothing runs
-    # out there, so nothing speaks against it.
+    # When answers get lost, a minion is silent for a moment now and then. No lease
+    # expires in that time, so the minion is not suspected.
     async def scenario(system):
         owner = system.hosts[system.owner()]
         name = system.listed[0].id
--- a/tests/host/test_leaving.py
+++ b/tests/host/test_leaving.py
@@ -1,4 +1,4 @@
-"""Check what a host that leaves does with the requests it still reads."""
+"""Check how a draining host handles the requests that still arrive."""
 
 from __future__ import annotations
 
@@ -36,10 +36,10 @@
 def test_a_request_on_an_open_connection_is_run_in_time_or_refused(
     play_pools, left_ms, duration_ms, outcome, reason
 ):
-    # A host was told to leave. A client keeps its connection and sends another request,
-    # shortly before the host has to be gone. It must have an answer: the connection's
-    # end without one would be a lost request. One that cannot be done in time has not
-    # run, and its caller is told at once, while it can still go elsewhere.
+    # Guards against requests that get no answer. A host is draining, and a client sends
+    # another request on its open connection shortly before the host stops. If the job
+    # cannot complete in time it is not run, and the caller is told immediately, while
+    # it can still submit the job elsewhere.
     async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(duration_ms))
         host = system.hosts[system.other()].host
@@ -59,9 +59,9 @@
 
 
 def test_active_jobs_are_answered_before_a_draining_host_stops(play_pools):
-    # A host that leaves has a job that takes longer than expected, and one that waits
-    # behind it. Both callers have an answer by the time that the host may still use,
-    # and the one whose job was never started may send it again.
+    # A draining host has a job that takes longer than estimated, and one that waits
+    # behind it. Both callers get an answer within the grace period, and the caller of
+    # the job that never started is told that it has not run.
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=1)
 
     async def scenario(system):
--- a/tests/host/test_links.py
+++ b/tests/host/test_links.py
@@ -1,4 +1,4 @@
-"""Check which links between hosts are open, and what their opening costs a job."""
+"""Check which links between hosts are open, and how opening them affects jobs."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 def count_links(system):
-    """Return how many links other hosts have opened, in all."""
+    """Return the number of open links between hosts."""
     return sum(len(running.host.links) for running in system.hosts.values())
 
 
@@ -25,9 +25,9 @@
 def test_links_grow_with_the_hosts_and_not_with_hosts_times_owners(
     play_pools, centres, hosts
 ):
-    # Each link costs both ends messages all the time. With one from every host to every
-    # owner, control took a fifth of an owner's processor at 97 hosts and 5 owners, and
-    # the owners of a loaded fleet answered too late.
+    # Both ends of a link send heartbeats all the time. With a link from every host to
+    # every owner, this took a fifth of an owner's CPU at 97 hosts and 5 owners, and the
+    # owners of a loaded fleet answered too late.
     size = PoolSystemSize(data_centres=centres, hosts_each=hosts, minions_each=2)
 
     async def scenario(system):
@@ -42,9 +42,9 @@
 def test_idle_hosts_send_few_messages_however_many_there_are(
     play_pools, centres, hosts
 ):
-    # Nobody asks for anything. What hosts tell one another only to show that they live
-    # must not grow with the fleet: an owner and its named successors tell one another
-    # seven times a second each way, an owner and all others three or four times.
+    # Without any requests, the number of heartbeats per host must not grow with the
+    # fleet. An owner and its successors exchange seven a second each way, an owner and
+    # any other host three or four.
     size = PoolSystemSize(data_centres=centres, hosts_each=hosts, minions_each=2)
 
     async def scenario(system):
@@ -58,8 +58,8 @@
 
 
 def test_a_link_is_opened_for_forwarded_tasks_and_closed_later(play_pools):
-    # A data centre is full, and its owner names another that has room. The host that
-    # has the job opens a link there at once, and lets it go some seconds later.
+    # A data centre is full, and its owner names another one with free slots. The host
+    # with the job opens a link there immediately, and closes it some seconds later.
     size = PoolSystemSize(data_centres=2, hosts_each=3, minions_each=4)
 
     async def scenario(system):
@@ -82,9 +82,9 @@
 
 
 def test_jobs_go_to_other_pools_while_their_own_has_no_owner(play_pools):
-    # The owner of a data centre dies while the store is away, so that nobody can take
-    # its pool. Hosts there have no link to any other owner, and must open one for the
-    # jobs that come: callers wait for milliseconds, and none is refused.
+    # The owner of a data centre dies while the store is down, so no host can take over
+    # its pool. The hosts there have no link to another owner, and must open one for the
+    # jobs that arrive: callers wait for milliseconds, and none is refused.
     async def scenario(system):
         async def inject_fault():
             system.store.down = True
@@ -103,8 +103,8 @@
 
 
 def test_a_job_is_not_run_if_no_link_could_be_opened(play_pools):
-    # A data centre is cut off and its own pool has no owner. What its hosts ask of
-    # others never leaves them, so callers are told at once that nothing has run.
+    # A data centre is cut off and its own pool has no owner. The requests of its hosts
+    # are never sent, so callers are told immediately that nothing has run.
     async def scenario(system):
         system.store.down = True
         system.kill(system.owner(0))
@@ -123,8 +123,8 @@
 
 def test_a_job_that_ended_before_its_link_opened_is_not_run(play_pools):
     # The own pool has no owner, so a job is sent to another data centre, and the link
-    # there takes a while to open. Its caller leaves meanwhile. The request must not go
-    # out after all: nobody would ever stop what it starts.
+    # there takes a while to open. Its caller disconnects meanwhile. The request must
+    # not be sent after that: no host would ever stop the runs that it starts.
     async def scenario(system):
         system.store.down = True
         system.kill(system.owner(0))
@@ -140,9 +140,9 @@
 
 
 def test_tasks_go_to_a_pool_with_free_slots_while_its_link_opens(play_pools):
-    # A burst fills a data centre, and its owner sends tasks of many jobs to another.
-    # The first of them opens the link, and the others must not be sent back to wait at
-    # the full pool while places stand empty.
+    # A burst fills a data centre, and its owner forwards tasks of many jobs to another.
+    # The first of them opens the link, and the others must not be returned to the full
+    # pool to wait while the other one has free slots.
     size = PoolSystemSize(data_centres=2, hosts_each=3, minions_each=4)
 
     async def scenario(system):
@@ -164,9 +164,9 @@
 
 
 def test_tasks_are_claimed_over_a_new_link_alongside_new_ones(play_pools):
-    # A host has a job at another pool when the link there is reset, and another job
-    # follows before the link is open again. Both must end well: the first by a claim,
-    # the second by its own request, and no task is at work twice.
+    # A host has a job at another pool when the link there is reset, and submits another
+    # job before the link is open again. Both must succeed, the first by a claim and the
+    # second by its own request, and no task may run twice.
     async def scenario(system):
         system.store.down = True
         system.kill(system.owner(0))
--- a/tests/host/test_load_sharing.py
+++ b/tests/host/test_load_sharing.py
@@ -1,4 +1,4 @@
-"""Check how pools share load that one of them has no room for."""
+"""Check how a full pool shares its load with other pools."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 @pytest.mark.parametrize("offset", range(90, 210, 15))
-def test_waiting_tasks_move_as_soon_as_another_pool_has_room(play_pools, offset):
-    # Both pools are full and a job waits at the first. The second becomes free. The
-    # first must hear of it at once and not with the next heartbeat: a balance enquiry
-    # takes 60 ms, and a heartbeat comes every 120 ms.
+def test_waiting_tasks_move_as_soon_as_another_pool_has_free_slots(play_pools, offset):
+    # Guards against tasks that wait up to 150 ms for the next heartbeat while another
+    # pool has free slots: a balance enquiry takes only 60 ms. Both pools are full and a
+    # job waits at the first; the second becomes free and must notify the first.
     size = PoolSystemSize(data_centres=2, minions_each=1)
 
     async def scenario(system):
--- a/tests/host/test_orphaned_tasks.py
+++ b/tests/host/test_orphaned_tasks.py
@@ -1,4 +1,4 @@
-"""Check that no task runs on for a job that nobody waits for any more."""
+"""Check that tasks are stopped when no caller waits for their job any more."""
 
 from __future__ import annotations
 
@@ -25,9 +25,9 @@
 @pytest.mark.parametrize("cancelled_after", [20, 500, 1_500])
 @pytest.mark.parametrize("then", ["nothing", "owner killed", "coordinator killed"])
 def test_a_late_start_is_stopped(play_pools, cancelled_after, then):
-    # A minion leaves an order unanswered and carries it out two seconds later. By then
-    # the caller has cancelled the job, and its host or the one that ordered the start
-    # may be gone. Whatever the minion then begins must not run on.
+    # A minion does not answer a start and carries it out two seconds later. By then the
+    # caller has cancelled the job, and the coordinator or the owner may have died. The
+    # run that then starts must be stopped.
     async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, 60 * SECOND)
         owner, name = system.owner(), system.other()
@@ -54,9 +54,9 @@
 
 @pytest.mark.parametrize("removed", ["owner", "coordinator", "both"])
 def test_a_task_is_stopped_once_the_host_that_started_it_is_gone(play_pools, removed):
-    # The host that had a task started is removed for good, and the job is cancelled or
-    # its caller is gone with it. Whoever orders the minions next finds a run that
-    # nobody asks for, and stops it.
+    # The owner, the coordinator or both are removed for good, and the job is cancelled
+    # or loses its caller with the coordinator. The owner, or the next one, finds a run
+    # that no host requests, and stops it.
     async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, 60 * SECOND)
         owner, name = system.owner(), system.other()
--- a/tests/host/test_overload.py
+++ b/tests/host/test_overload.py
@@ -1,8 +1,8 @@
-"""Check who is refused, and when, while more comes than the minions can do.
+"""Check which jobs are refused, and when, under more load than the minions can take.
 
-The pattern is the last hour before a closing: jobs of short tasks at a third more than
-the minions can do, for some seconds. The figures of a job are those of the balance
-enquiry: tasks of 60 ms, an objective of 156 ms, callers who wait for two seconds.
+The load is that of the last hour before a closing: jobs of short tasks at a third above
+the capacity of the minions, for some seconds. The jobs are balance enquiries: tasks of
+60 ms, an objective of 156 ms, and callers who wait for two seconds.
 """
 
 from __future__ import annotations
@@ -18,7 +18,7 @@
 SIZE = PoolSystemSize(data_centres=1, minions_each=4)
 JOBS = 150
 TASKS = 4
-# Eight tasks of 60 ms at once are 133 tasks a second, or 33 jobs of four.
+# Eight concurrent tasks of 60 ms are 133 tasks a second, or 33 jobs of four tasks.
 CAPACITY_PER_S = 33
 OBJECTIVE = timedelta(milliseconds=156)
 
@@ -52,10 +52,10 @@
     refused = [took for r, took in results if r.outcome is BatchOutcome.NOT_RUN]
     in_time = [took for took in served if took <= OBJECTIVE]
     assert system.book.broken == []
-    # Nobody waits for an answer that has no use any more.
+    # No caller waits for an answer that is no longer useful.
     assert len(served) + len(refused) == JOBS
     assert all(took <= OBJECTIVE * 3.5 for took in served + refused)
-    # What can be done at all, four fifths of the capacity, is done in time.
+    # At least 70% of the jobs that the capacity allows are served in time.
     possible = min(JOBS, JOBS / factor)
     assert len(in_time) >= possible * 0.7
     started = {name.batch for name in system.book.starts}
--- a/tests/host/test_owners_killed_in_a_row.py
+++ b/tests/host/test_owners_killed_in_a_row.py
@@ -1,4 +1,4 @@
-"""Check that orphaned runs end in time however often their pool changes hands."""
+"""Check that orphaned runs end in time however often their pool is taken over."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from brasstray_standins.pool_system import USUAL_NEEDS, PoolSystemSize, usual_batch
 
 SIZE = PoolSystemSize(data_centres=2, hosts_each=3, minions_each=3)
-# What callers of the users' programs wait before they send a job again.
+# How long the callers in the users' programs wait before they submit a job again.
 RESEND_PAUSE = timedelta(milliseconds=1_300)
 JOB = "a" * 16
 
@@ -34,7 +34,7 @@
 
 @pytest.mark.parametrize("tenure_ms", [30, 100, 200, 400])
 def test_orphaned_runs_end_before_the_job_is_sent_again(play_pools, tenure_ms):
-    """A job sent again elsewhere does not run beside its orphaned runs."""
+    """A job submitted again elsewhere does not run alongside its orphaned runs."""
 
     async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(4_000))
--- a/tests/host/test_starting.py
+++ b/tests/host/test_starting.py
@@ -1,4 +1,4 @@
-"""Check what a host does with requests that come as soon as it listens."""
+"""Check how a host handles requests that arrive as soon as it listens."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
     [
         (False, 0, True, 50),
         (False, 100, True, 0),
-        # Nobody knows when the store will be back: callers are told so soon after the
-        # start, and at once later.
+        # It is not known when the store will be back: callers are told soon after the
+        # start, and later immediately.
         (True, 0, False, 400),
         (True, 300, False, 100),
         (True, 500, False, 0),
@@ -26,9 +26,11 @@
 def test_a_request_waits_briefly_for_the_first_configuration(
     play_pools, store_down, asked_after, known, max_ms
 ):
-    # All hosts of a data centre lost power and are back. Callers come to each as soon
-    # as it listens, some 10 ms before the store has told it which requests there are:
-    # 26 to 44 of them were turned away in that quarter of a second on a users' day.
+    # Guards against requests that are rejected because a host has no configuration yet.
+    # All hosts of a data centre restart after a power failure, and callers connect as
+    # soon as they listen, about 10 ms before the store has sent the configuration: 26
+    # to 44 requests were rejected in that quarter of a second in a run of the users'
+    # day.
     async def scenario(system):
         name = system.other()
         system.kill(name)
--- a/tests/host/test_succession.py
+++ b/tests/host/test_succession.py
@@ -1,4 +1,4 @@
-"""Check which host owns a pool where hosts differ in strength, and who follows it."""
+"""Check which host owns a pool among hosts of different power, and its successors."""
 
 from __future__ import annotations
 
@@ -72,8 +72,8 @@
 
 
 def test_a_strong_host_takes_over_the_pool_and_keeps_it(play_pools):
-    # All hosts start within a moment, and whoever comes first owns the pool. A weak
-    # host would read ends late all day, so it passes the pool on, once.
+    # All hosts start at about the same time, and the first to claim the pool owns it. A
+    # weak owner would read the ends of tasks late, so it hands the pool over, once.
     async def scenario(system):
         await system.clock.sleep(3 * SHORTEST_TENURE)
         first, first_token = system.owner(), current_token(system)
@@ -88,9 +88,9 @@
 
 @pytest.mark.parametrize("killed", [1, 2])
 def test_one_claim_is_written_when_strong_hosts_die(play_pools, killed):
-    # The owner dies, alone or with its first successor, while eleven hosts look on. If
-    # all of them claimed, all but one of the writes would be wasted, and the pool might
-    # end up at a weak host.
+    # The owner dies, alone or with its first successor, and eleven hosts notice. If all
+    # of them claimed, all but one of the writes would be wasted, and a weak host might
+    # get the pool.
     async def scenario(system):
         await system.clock.sleep(3 * SHORTEST_TENURE)
         before = current_token(system)
@@ -110,8 +110,8 @@
 
 
 def test_a_pool_moves_under_load_and_no_job_is_lost(play_pools):
-    # All strong hosts are gone and a weak one owns the pool. They come back, and the
-    # pool moves to one of them while callers wait: every job is done.
+    # All strong hosts are down and a weak one owns the pool. They return, and the pool
+    # moves to one of them while callers wait. Every job succeeds.
     async def scenario(system):
         for number in range(3):
             system.kill(f"dc0-h{number}")
@@ -135,8 +135,8 @@
 
 
 def test_the_strongest_host_of_each_data_centre_dies_under_load(play_pools):
-    # The owners of all pools die at once, as by a fault that strong hosts share. Their
-    # successors are known, so that callers of other hosts lose nothing but time.
+    # The owners of all pools die at the same time, as by a fault that strong hosts have
+    # in common. Their successors take over, so jobs of other hosts are only delayed.
     size = PoolSystemSize(data_centres=3, hosts_each=4, minions_each=4, strong_each=2)
 
     async def scenario(system):
--- a/tests/host/test_takeover_storms.py
+++ b/tests/host/test_takeover_storms.py
@@ -1,4 +1,4 @@
-"""Check that no task runs twice while owners fail in series and orders come late."""
+"""Check that no task runs twice while owners fail in series and calls are delayed."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 from brasstray.batch.outcome import BatchOutcome
 
-# More and longer storms are played by hand.
+# Set these variables to run more and longer storms by hand.
 SEEDS = int(os.environ.get("STORM_SEEDS", "1"))
 LENGTH = timedelta(seconds=int(os.environ.get("STORM_SECONDS", "4")))
 
@@ -20,7 +20,7 @@
 @pytest.mark.parametrize(("late", "unanswered"), CALL_FAULTS)
 @pytest.mark.parametrize("mix", MIXES)
 def test_storm_of_takeovers_runs_no_task_twice(play_pools, mix, late, unanswered, seed):
-    """No second run, overfull minion or untrue "not run" in overlapping faults."""
+    """No second run, overloaded minion or false "not run" under overlapping faults."""
     random = Random(f"{mix} {late} {unanswered} {seed}")
     storm = (random, late, unanswered, MIXES[mix], LENGTH)
     play_and_check(play_pools, storm, seed=seed)
@@ -30,7 +30,7 @@
     ("mix", "late", "unanswered", "seed"), [("takeovers", 0.1, 0.1, 13)]
 )
 def test_storm_in_which_a_task_ran_twice(play_pools, mix, late, unanswered, seed):
-    """Orphaned runs end before their job is sent again, after takeovers in a row."""
+    """Orphaned runs end before their job is sent again, after several takeovers."""
     random = Random(f"{mix}{seed}")
     storm = (random, late, unanswered, MIXES[mix], timedelta(seconds=12))
     play_and_check(play_pools, storm, seed=seed, schedule=seed)
--- a/tests/host/test_takeover_timeout.py
+++ b/tests/host/test_takeover_timeout.py
@@ -1,4 +1,4 @@
-"""Check when a host takes the listed owner of its pool for gone."""
+"""Check how soon a host takes over the pool of an owner that is lost."""
 
 from __future__ import annotations
 
@@ -41,9 +41,9 @@
     [("killed", 200), ("restarted", 200), ("resigns", 300), ("silent", 700)],
 )
 def test_a_lost_owner_is_replaced_soon(play_pools, event, max_ms):
-    # The host that orders the minions of a data centre dies, is started again, wants
-    # to leave or falls silent. Runs live for 0.8 s after the last look at their minion,
-    # so another host has to own the pool before.
+    # The owner of a pool is killed, is restarted, resigns or goes silent. The lease of
+    # a run ends 0.8 s after the owner last reached its minion, so another host has to
+    # own the pool before.
     async def scenario(system):
         name = system.owner()
         began = system.clock.monotonic()
