--- a/src/brasstray/coordinator/coordinator.py
+++ b/src/brasstray/coordinator/coordinator.py
@@ -361,7 +361,7 @@
                     self._end(active, lost)
                     break
 
-    def end_all(self) -> None:
+    def end_all_jobs(self) -> None:
         """End every job with an unknown outcome, because this host stops.
 
         A suspended host does the same when it resumes, as owners did not wait for it.
--- a/src/brasstray/host/pool_handover.py
+++ b/src/brasstray/host/pool_handover.py
@@ -57,9 +57,9 @@
                 self._request_if_due()
 
     def _request_if_due(self) -> None:
-        held = self._clock.monotonic() - self._owned_since
+        tenure = self._clock.monotonic() - self._owned_since
         powers = self._links.powers
-        if should_hand_over(self._power, powers.values(), held):
+        if should_hand_over(self._power, powers.values(), tenure):
             self._requested = True
             self._events.pool_moving(self._pool, rank_successors(powers)[0])
             self._links.send_state()
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -250,7 +250,7 @@
 
     async def _end_jobs_after(self, time_left: timedelta) -> None:
         await self._clock.sleep(time_left)
-        self._coordinator.end_all()
+        self._coordinator.end_all_jobs()
 
     async def first_config(self) -> Configuration | None:
         """Return the configuration in force, or None if there is none.
@@ -457,7 +457,7 @@
         if self._owner is not None:
             self._ownership.release()
             self._stop_owner("process was suspended")
-        self._coordinator.end_all()
+        self._coordinator.end_all_jobs()
 
 
 __all__ = ["PoolHost"]
--- a/src/brasstray/host/succession.py
+++ b/src/brasstray/host/succession.py
@@ -67,14 +67,14 @@
 
 
 def should_hand_over(
-    own_power: float, others: Iterable[float], held: timedelta
+    own_power: float, others: Iterable[float], tenure: timedelta
 ) -> bool:
-    """Return whether to hand over a pool that was owned for `held`.
+    """Return whether to hand over a pool that was owned for `tenure`.
 
     `own_power` is the power of the owner, `others` that of the reachable hosts.
     """
     strongest = max(others, default=0.0)
-    return held >= SHORTEST_TENURE and strongest >= own_power * MIN_POWER_RATIO
+    return tenure >= SHORTEST_TENURE and strongest >= own_power * MIN_POWER_RATIO
 
 
 __all__ = [
