--- a/src/brasstray/coordinator/coordinator.py
+++ b/src/brasstray/coordinator/coordinator.py
@@ -1,4 +1,4 @@
-"""See each job through: ask pools to run its tasks and gather how they end."""
+"""Coordinate jobs: request their tasks from pools and collect the results."""
 
 from __future__ import annotations
 
@@ -29,12 +29,12 @@
     from brasstray.pool.pool_load import PoolLoad
 
 _MILLISECOND = timedelta(milliseconds=1)
-# A late answer is of some use to the users until three times the objective has passed.
-USEFUL_OBJECTIVES = 3
+# An answer that misses its objective is useful up to three times the objective.
+USEFUL_OBJECTIVE_FACTOR = 3
 
 
 class Coordinator:
-    """Hold the jobs that callers of this host wait for."""
+    """Run the jobs that callers submit to this host."""
 
     def __init__(
         self,
@@ -50,38 +50,39 @@
         self._timing = timing
         self._events = events
         self._active: dict[BatchId, ActiveBatch] = {}
-        self._lost_since: dict[PoolId, timedelta] = {}
-        self._begun = anyio.Event()
+        self._unreachable_since: dict[PoolId, timedelta] = {}
+        self._job_added = anyio.Event()
 
     @property
     def active(self) -> int:
-        """Return how many jobs are at work."""
+        """Return the number of active jobs."""
         return len(self._active)
 
     def pending(self, queue: str) -> int:
-        """Return how many jobs of `queue` have no task done yet."""
+        """Return the number of active jobs of `queue` without a completed task."""
         return sum(
             active.queue.name == queue and not active.any_done
             for active in self._active.values()
         )
 
     def knows(self, batch: BatchId) -> bool:
-        """Return whether the job is at work here."""
+        """Return whether the job is active here."""
         return batch in self._active
 
     async def run(self, batch: Batch, queue: Queue, timeout: timedelta) -> BatchResult:
-        """Return the result of `batch`, whose caller waits for `timeout`.
+        """Run `batch` and return its result, at the latest after `timeout`.
 
-        If the caller's wait is cancelled and nobody else waits, its runs are stopped.
+        If the call is cancelled and no other caller waits for the same job, the runs of
+        the job are stopped.
         """
         active = self._active.get(batch.id)
         if active is None:
-            active = self._begin(batch, queue, timeout)
+            active = self._add_job(batch, queue, timeout)
             await self._send_first(active)
         active.waiters += 1
-        left = active.limit - self._clock.monotonic()
+        remaining = active.limit - self._clock.monotonic()
         try:
-            with anyio.move_on_after(max(0.0, left.total_seconds())):
+            with anyio.move_on_after(max(0.0, remaining.total_seconds())):
                 await active.ended.wait()
             if active.result is None:
                 result = BatchResult(BatchOutcome.UNKNOWN, GiveUpReason.TOO_LATE)
@@ -94,31 +95,31 @@
         assert active.result is not None
         return active.result
 
-    def _begin(self, batch: Batch, queue: Queue, timeout: timedelta) -> ActiveBatch:
+    def _add_job(self, batch: Batch, queue: Queue, timeout: timedelta) -> ActiveBatch:
         now = self._clock.monotonic()
-        objective = chain_of(batch) * queue.stretch + queue.slack
+        objective = critical_path(batch) * queue.stretch + queue.slack
         active = ActiveBatch(
             batch,
             queue,
             now,
             now + objective,
-            now + objective * USEFUL_OBJECTIVES,
+            now + objective * USEFUL_OBJECTIVE_FACTOR,
             now + timeout,
             steps_left={n: step.count for n, step in enumerate(batch.steps)},
         )
         self._active[batch.id] = active
-        self._begun.set()
+        self._job_added.set()
         return active
 
     async def _send_first(self, active: ActiveBatch) -> None:
         if self._pools.all_evacuated():
             self._refuse_evacuated(active)
             return
-        pool = self._choose(active.batch.id)
+        pool = self._choose_pool(active.batch.id)
         deadline = self._clock.monotonic() + self._timing.pool_timeout
         while pool is None and self._clock.monotonic() < deadline:
             await self._clock.sleep(self._timing.tick / 5)
-            pool = self._choose(active.batch.id)
+            pool = self._choose_pool(active.batch.id)
         if pool is None:
             refusal = BatchResult(
                 BatchOutcome.NOT_RUN, GiveUpReason.NO_POOL, self._timing.retry_after
@@ -127,17 +128,21 @@
             return
         self._send_ready_steps(active, pool)
 
-    def _choose(self, batch: BatchId) -> PoolId | None:
+    def _choose_pool(self, batch: BatchId) -> PoolId | None:
         reachable = self._pools.reachable()
         if self._home in reachable:
-            # Also while it is evacuated: its owner learns first where slots are free.
+            # Preferred even if it is evacuated: its owner is the first to learn which
+            # other pool has free slots.
             return self._home
-        return self._choose_open(batch, reachable)
+        return self._choose_available_pool(batch, reachable)
 
-    def _choose_open(
+    def _choose_available_pool(
         self, batch: BatchId, pools: dict[PoolId, PoolLoad]
     ) -> PoolId | None:
-        """Return the best of `pools` that is not evacuated, or one not asked yet."""
+        """Return the best reachable pool that is not evacuated, or else one to try.
+
+        The best pool has the shortest wait, then the most free slots.
+        """
         evacuated = self._pools.is_evacuated
         reachable = {pool: load for pool, load in pools.items() if not evacuated(pool)}
         if reachable:
@@ -145,39 +150,39 @@
                 reachable,
                 key=lambda pool: (reachable[pool].wait_ms, -reachable[pool].free_slots),
             )
-        # All hosts of a data centre lose their owner together: the job's id spreads
-        # their jobs over the other pools.
+        # All hosts of a data centre lose their owner at the same time. Hashing the id
+        # of the job distributes their jobs over the other pools.
         unasked = sorted(p for p in self._pools.unasked() if not evacuated(p))
         return unasked[crc32(batch.encode()) % len(unasked)] if unasked else None
 
     def _send_ready_steps(self, active: ActiveBatch, pool: PoolId) -> None:
-        for number, step in enumerate(active.batch.steps):
-            if number in active.steps_sent or any(
-                active.steps_left.get(before) for before in step.after
+        for step_number, step in enumerate(active.batch.steps):
+            if step_number in active.steps_sent or any(
+                active.steps_left.get(dependency) for dependency in step.after
             ):
                 continue
-            active.steps_sent.add(number)
-            self._send(active, number, range(step.count), pool)
+            active.steps_sent.add(step_number)
+            self._send(active, step_number, range(step.count), pool)
 
     def _send(
         self,
         active: ActiveBatch,
-        number: int,
+        step_number: int,
         indices: Iterable[int],
         pool: PoolId,
         *,
         forwarded: bool = False,
         claimed: bool = False,
     ) -> None:
-        step, queue = active.batch.steps[number], active.queue
+        step, queue = active.batch.steps[step_number], active.queue
         now = self._clock.monotonic()
-        chosen = tuple(indices)
-        for index in chosen:
-            active.placed[number, index] = pool
+        sent_indices = tuple(indices)
+        for index in sent_indices:
+            active.placed[step_number, index] = pool
         message = RunTasks(
             batch=active.batch.id,
-            step=number,
-            indices=chosen,
+            step=step_number,
+            indices=sent_indices,
             width=step.count,
             queue=queue.name,
             service=queue.service,
@@ -200,10 +205,10 @@
         )
         self._pools.tell(pool, message)
 
-    # What owners tell
+    # Messages from owners
 
-    def take_ended(self, pool: PoolId, message: TasksEnded) -> None:
-        """Take the ends of tasks."""
+    def handle_tasks_ended(self, pool: PoolId, message: TasksEnded) -> None:
+        """Record tasks that ended; send the steps that became ready, or end the job."""
         active = self._active.get(message.batch)
         if active is None:
             return
@@ -218,10 +223,10 @@
         if not any(active.steps_left.values()):
             self._end(active, BatchResult(BatchOutcome.SUCCEEDED))
         elif not active.steps_left[message.step]:
-            self._send_ready_steps(active, self._choose(message.batch) or pool)
+            self._send_ready_steps(active, self._choose_pool(message.batch) or pool)
 
-    def take_returned(self, pool: PoolId, message: TasksReturned) -> None:
-        """Take tasks back from `pool`, which has not started them."""
+    def handle_tasks_returned(self, pool: PoolId, message: TasksReturned) -> None:
+        """Send tasks that `pool` returned to another pool, or end the job."""
         active = self._active.get(message.batch)
         if active is None:
             return
@@ -238,7 +243,7 @@
         elif message.evacuated:
             self._evacuate(active, message.step, indices, message.pool)
         elif message.pool is None:
-            self._refuse(active, len(indices), message.wait_ms)
+            self._refuse_overloaded(active, len(indices), message.wait_ms)
         else:
             target = message.pool if self._is_known(message.pool) else pool
             self._events.moved(active, len(indices), target)
@@ -250,68 +255,76 @@
     def _evacuate(
         self,
         active: ActiveBatch,
-        number: int,
+        step_number: int,
         indices: list[int],
         proposed: PoolId | None,
     ) -> None:
-        """Send tasks from an evacuated pool to the one proposed, or to another.
+        """Send tasks from an evacuated pool to the proposed pool, or to another one.
 
-        Guards against tasks that go to and fro between pools that were evacuated one
-        after the other: what this host has heard of is at least as new as what their
-        owners have told it with the tasks. The new pool may pass them on once, as any.
+        The proposed pool is checked against the evacuations known here, which are at
+        least as recent as those the owner knew. Otherwise, tasks could bounce between
+        pools that were evacuated one after the other. The tasks are not marked as
+        forwarded, so the new pool may forward them once.
         """
         target = proposed
         pools = self._pools
         if target is None or not self._is_known(target) or pools.is_evacuated(target):
-            target = self._choose_open(active.batch.id, pools.reachable())
+            target = self._choose_available_pool(active.batch.id, pools.reachable())
         if target is None:
             self._refuse_evacuated(active, len(indices))
             return
         self._events.moved(active, len(indices), target)
-        self._send(active, number, indices, target)
+        self._send(active, step_number, indices, target)
 
-    def _refuse(self, active: ActiveBatch, returned: int, wait_ms: int) -> None:
+    def _refuse_overloaded(
+        self, active: ActiveBatch, returned: int, wait_ms: int
+    ) -> None:
         wait = max(self._timing.retry_after, wait_ms * _MILLISECOND)
-        self._give_up(active, returned, GiveUpReason.OVERLOADED, wait)
+        self._end_unfinished(active, returned, GiveUpReason.OVERLOADED, wait)
 
     def _refuse_evacuated(self, active: ActiveBatch, returned: int = 0) -> None:
         wait = self._timing.evacuated_retry_after
-        self._give_up(active, returned, GiveUpReason.EVACUATED, wait)
+        self._end_unfinished(active, returned, GiveUpReason.EVACUATED, wait)
 
-    def _give_up(
+    def _end_unfinished(
         self,
         active: ActiveBatch,
         returned: int,
         reason: GiveUpReason,
         wait: timedelta,
     ) -> None:
-        """End a job of which `returned` tasks, and maybe more, cannot be run."""
-        whole = len(active.placed) == returned and not active.begun
-        outcome = BatchOutcome.NOT_RUN if whole else BatchOutcome.UNKNOWN
+        """End a job of which at least `returned` tasks cannot be run.
+
+        The outcome is "not run" only if no task of the job can have started.
+        """
+        nothing_started = len(active.placed) == returned and not active.begun
+        outcome = BatchOutcome.NOT_RUN if nothing_started else BatchOutcome.UNKNOWN
         self._end(active, BatchResult(outcome, reason, wait))
 
     def claim(self, pool: PoolId, sent: frozenset[TaskName] = frozenset()) -> None:
-        """Ask again for all tasks at `pool`: its owner or the link to it is new.
+        """Request all tasks at `pool` again, as its owner or the link to it is new.
 
-        Those in `sent` were asked for on that link already.
+        Tasks in `sent` were already requested over that link and are left out.
         """
-        self._lost_since.pop(pool, None)
+        self._unreachable_since.pop(pool, None)
         for active in list(self._active.values()):
             batch = active.batch.id
-            for number, placed in active.at(pool).items():
-                indices = [i for i in placed if TaskName(batch, number, i) not in sent]
+            for step_number, placed in active.indices_at(pool).items():
+                indices = [
+                    i for i in placed if TaskName(batch, step_number, i) not in sent
+                ]
                 if not indices:
                     continue
                 active.begun = True
                 self._events.claimed(active, len(indices), pool)
-                self._send(active, number, indices, pool, claimed=True)
+                self._send(active, step_number, indices, pool, claimed=True)
 
     def has_tasks_at(self, pool: PoolId) -> bool:
-        """Return whether a task that has not ended was last asked for at `pool`."""
+        """Return whether an unfinished task is placed at `pool`."""
         return any(pool in active.placed.values() for active in self._active.values())
 
     def cancel(self, batch: BatchId) -> bool:
-        """End a job for its caller; return whether it was at work here."""
+        """Cancel a job for its caller; return whether it was active here."""
         active = self._active.get(batch)
         if active is None:
             return False
@@ -319,37 +332,40 @@
         self._end(active, cancelled)
         return True
 
-    async def watch(self) -> None:
-        """Give up jobs whose tasks are at pools that stay unreachable."""
+    async def watch_unreachable(self) -> None:
+        """End jobs whose tasks are at pools that stay unreachable, until cancelled."""
         while True:
             if not self._active:
-                self._lost_since.clear()
-                self._begun = anyio.Event()
-                await self._begun.wait()
+                self._unreachable_since.clear()
+                self._job_added = anyio.Event()
+                await self._job_added.wait()
             await self._clock.sleep(self._timing.tick)
-            self.give_up_lost(self._clock.monotonic())
+            self.end_unreachable(self._clock.monotonic())
 
-    def give_up_lost(self, now: timedelta) -> None:
-        """Give up jobs with tasks at unreachable pools for too long.
+    def end_unreachable(self, now: timedelta) -> None:
+        """End jobs with tasks at pools unreachable for `lost_pool_timeout`.
 
-        The tasks may go on there for a while, so they are not run elsewhere and the
-        job is not said not to have run. Whoever sends it again does so later than
-        the last of them can be at work.
+        The tasks may keep running there for a while, so they are not sent elsewhere and
+        the job is not reported as not run. By the time that a caller submits the job
+        again, the last of them must have ended.
         """
         reachable = self._pools.reachable()
         for active in list(self._active.values()):
             for pool in set(active.placed.values()):
                 if pool in reachable:
-                    self._lost_since.pop(pool, None)
+                    self._unreachable_since.pop(pool, None)
                     continue
-                since = self._lost_since.setdefault(pool, now)
+                since = self._unreachable_since.setdefault(pool, now)
                 if now - since >= self._timing.lost_pool_timeout:
                     lost = BatchResult(BatchOutcome.UNKNOWN, GiveUpReason.POOL_LOST)
                     self._end(active, lost)
                     break
 
-    def end_all(self) -> None:
-        """Give up every job, as after a suspension that owners do not wait for."""
+    def end_all_jobs(self) -> None:
+        """End every job with an unknown outcome, because this host stops.
+
+        A suspended host does the same when it resumes, as owners did not wait for it.
+        """
         for active in list(self._active.values()):
             self._end(active, BatchResult(BatchOutcome.UNKNOWN, GiveUpReason.STOPPING))
 
@@ -365,13 +381,13 @@
         active.ended.set()
 
 
-def chain_of(batch: Batch) -> timedelta:
-    """Return the longest chain of estimates through the steps of `batch`."""
-    chains: list[timedelta] = []
+def critical_path(batch: Batch) -> timedelta:
+    """Return the estimated duration of the longest chain of dependent steps."""
+    path_lengths: list[timedelta] = []
     for step in batch.steps:
-        before = max((chains[n] for n in step.after), default=timedelta(0))
-        chains.append(before + step.estimate)
-    return max(chains, default=timedelta(0))
+        start = max((path_lengths[n] for n in step.after), default=timedelta(0))
+        path_lengths.append(start + step.estimate)
+    return max(path_lengths, default=timedelta(0))
 
 
-__all__ = ["Coordinator", "chain_of"]
+__all__ = ["Coordinator", "critical_path"]
--- a/src/brasstray/host/ownership.py
+++ b/src/brasstray/host/ownership.py
@@ -1,4 +1,4 @@
-"""Follow who owns the pools, and claim the pool of this data centre if it is vacant."""
+"""Track the owners of all pools, and claim this data centre's pool if it is vacant."""
 
 from __future__ import annotations
 
@@ -9,17 +9,17 @@
 import msgspec
 
 from brasstray.batch.ids import FencingToken
-from brasstray.host.owner_reach import OwnerReach
 from brasstray.host.owner_record import (
     POOL_PREFIX,
     OwnedPool,
     OwnerRecord,
     owned_pool,
+    pool_from_key,
     pool_key,
-    pool_of,
 )
-from brasstray.host.recent_takeovers import RecentTakeovers
+from brasstray.host.owner_state import OwnerState
 from brasstray.host.store_follower import follow_store
+from brasstray.host.takeover_backoff import TakeoverBackoff
 from brasstray.store.errors import StoreConflictError, StoreUnavailableError
 from brasstray.store.store import ABSENT
 
@@ -40,10 +40,11 @@
 
 
 class Ownership:
-    """Take the pool by compare-and-swap when no reachable host owns it.
+    """Claim the pool by compare-and-swap when no reachable host owns it.
 
-    Taking it from an owner that lives is safe: minions obey the highest token only.
-    It costs the runs that expire meanwhile, so the listed owner is given time first.
+    Claiming it from a live owner is safe, as minions obey only the highest token. But
+    runs whose leases expire during the takeover are lost, so the listed owner is given
+    time first.
     """
 
     def __init__(
@@ -56,8 +57,8 @@
         random: Random,
         timing: HostTiming,
         events: HostEvents,
-        take: Callable[[OwnedPool], None],
-        leave: Callable[[str], None],
+        on_acquired: Callable[[OwnedPool], None],
+        on_lost: Callable[[str], None],
         succession: Succession,
         evacuations: Evacuations,
     ) -> None:
@@ -69,40 +70,40 @@
         self._random = random
         self._timing = timing
         self._events = events
-        self._take = take
-        self._leave = leave
+        self._on_acquired = on_acquired
+        self._on_lost = on_lost
         self._succession = succession
         self._evacuations = evacuations
         self._token_held = 0
-        self._token_left = 0
+        self._token_released = 0
         self._confirmed_at = timedelta(0)
         self._known = False
         self._draining = False
         self._vacant_since: timedelta | None = None
-        self._timeout = timedelta(0)
-        self._recent = RecentTakeovers(timing.takeover_memory)
+        self._vacancy_timeout = timedelta(0)
+        self._takeover_backoff = TakeoverBackoff(timing.takeover_window)
 
     @property
     def known(self) -> bool:
-        """Return whether the store has been read since the start."""
+        """Return whether the store has been read since this host started."""
         return self._known
 
     @property
     def confirmed_at(self) -> timedelta:
-        """Return when the store last said that this host owns the pool."""
+        """Return when the store last confirmed that this host owns the pool."""
         return self._confirmed_at
 
     def drain(self) -> None:
-        """Claim nothing from now on."""
+        """Stop claiming the pool."""
         self._draining = True
 
-    def drop(self) -> None:
-        """Record that this host acts under its token no more."""
-        self._token_left = max(self._token_left, self._token_held)
+    def release(self) -> None:
+        """Record that this host no longer acts under its token."""
+        self._token_released = max(self._token_released, self._token_held)
         self._token_held = 0
 
     async def confirm(self, owned: OwnedPool) -> bool:
-        """Tell whether the store says that the pool is still owned as `owned` says."""
+        """Return whether the store confirms `owned`, False if it is unavailable."""
         try:
             entry = await self._store.get(pool_key(self._pool))
         except StoreUnavailableError as error:
@@ -111,128 +112,132 @@
         return entry is not None and entry.version == owned.token
 
     async def follow(self) -> None:
-        """Follow the store's entries until cancelled."""
+        """Apply changes of the store's entries until cancelled."""
         await follow_store(
             "pools",
-            self._learn_after,
+            self._read_store,
             self._clock,
             self._timing.store_retry,
             self._events,
         )
 
-    async def _learn_after(self, as_of: int | None) -> int:
-        """Learn of all pools, or of what came after `as_of`; return what is known."""
+    async def _read_store(self, as_of: int | None) -> int:
+        """Read all entries, or the changes after `as_of`; return the version read."""
         if as_of is None:
             found = await self._store.snapshot(POOL_PREFIX)
-            self._learn_all(found.entries)
+            self._apply_snapshot(found.entries)
             return found.as_of
-        changes = await self._store.watch(POOL_PREFIX, as_of, self._timing.pool_watch)
+        changes = await self._store.watch(
+            POOL_PREFIX, as_of, self._timing.pool_watch_timeout
+        )
         for entry in changes.written:
-            self._learn(entry)
+            self._apply_entry(entry)
         for key in changes.removed:
-            self._forget(key)
-        self._note_confirmed()
+            self._apply_removal(key)
+        self._record_confirmation()
         return changes.as_of
 
-    def _note_confirmed(self) -> None:
+    def _record_confirmation(self) -> None:
         if self._token_held:
             self._confirmed_at = self._clock.monotonic()
 
-    def _learn_all(self, entries: tuple[StoreEntry, ...]) -> None:
+    def _apply_snapshot(self, entries: tuple[StoreEntry, ...]) -> None:
         for entry in entries:
-            self._learn(entry)
+            self._apply_entry(entry)
         listed = {entry.name for entry in entries}
         if pool_key(self._pool) not in listed:
-            self._forget(pool_key(self._pool))
+            self._apply_removal(pool_key(self._pool))
         self._known = True
 
-    def _learn(self, entry: StoreEntry) -> None:
-        pool = pool_of(entry.name)
+    def _apply_entry(self, entry: StoreEntry) -> None:
+        pool = pool_from_key(entry.name)
         try:
             owned = owned_pool(entry)
         except ValueError as error:
-            self._events.pool_claim_failed(pool, f"unreadable entry: {error}")
+            self._events.pool_claim_failed(pool, f"malformed store entry: {error}")
             return
-        self._directory.learn(pool, owned)
+        self._directory.update_owner(pool, owned)
         if pool == self._pool:
-            self._recent.note(owned.token, self._clock.monotonic())
+            self._takeover_backoff.record_owner(owned.token, self._clock.monotonic())
         if pool == self._pool and self._token_held < owned.token:
             if owned.owner.incarnation != self._identity.incarnation:
-                self._lose(f"taken by {owned.owner.incarnation}")
-            elif not self._draining and owned.token > self._token_left:
-                # The reply to our claim was lost, but the store shows that it was
-                # written.
-                self._hold(owned)
-
-    def _forget(self, key: str) -> None:
-        self._directory.learn(pool_of(key), None)
+                self._drop_ownership(f"claimed by {owned.owner.incarnation}")
+            elif not self._draining and owned.token > self._token_released:
+                # The claim was written, although the reply to it was lost.
+                self._acquire(owned)
+
+    def _apply_removal(self, key: str) -> None:
+        self._directory.update_owner(pool_from_key(key), None)
         if key == pool_key(self._pool):
-            self._lose("the entry was removed")
+            self._drop_ownership("store entry removed")
 
-    def _lose(self, why: str) -> None:
+    def _drop_ownership(self, reason: str) -> None:
         if self._token_held:
-            self.drop()
-            self._leave(why)
+            self.release()
+            self._on_lost(reason)
 
     async def claim_when_vacant(self) -> None:
-        """Claim the pool whenever no reachable host owns it."""
+        """Claim the pool whenever no reachable host owns it, until cancelled."""
         while True:
-            if self._token_held or self._is_sure_owned():
-                # An owner that is lost, also by silence, ends this wait.
-                with anyio.move_on_after(self._timing.vacancy_check.total_seconds()):
+            if self._token_held or self._has_reachable_owner():
+                # The loss of the owner, including by silence, ends this wait.
+                with anyio.move_on_after(
+                    self._timing.vacancy_check_interval.total_seconds()
+                ):
                     await self._directory.wait_for_change()
             else:
                 await self._clock.sleep(self._timing.tick)
-            if self._may_claim and self._is_due():
+            if self._may_claim and self._is_claim_due():
                 await self._claim()
                 self._vacant_since = None
 
     @property
     def _may_claim(self) -> bool:
-        """Return whether this host knows enough to own the pool, and stays.
+        """Return whether this host knows enough to own the pool and is not draining.
 
-        Guards against starts in an evacuated data centre by a host that was just
-        started: one that has not read which those are must not order minions.
+        A host that was just started and has not read the evacuations yet must not order
+        minions: it might start tasks in an evacuated data centre.
         """
         return self._known and self._evacuations.current.known and not self._draining
 
-    def _is_due(self) -> bool:
+    def _is_claim_due(self) -> bool:
         if self._token_held or not self._is_vacant():
             self._vacant_since = None
             return False
         now = self._clock.monotonic()
         if self._vacant_since is None:
             self._vacant_since = now
-            timeout = self._timing.vacancy_timeout + self._turn()
-            self._timeout = timeout * self._recent.timeout_factor(now)
-        return now - self._vacant_since >= self._timeout
-
-    def _turn(self) -> timedelta:
-        """Return how long this host leaves the pool to those that come before it."""
-        head_start = self._succession.head_start
-        if self._succession.named:
-            return head_start
-        return head_start + self._random.random() * self._timing.claim_jitter
-
-    def _is_sure_owned(self) -> bool:
+            timeout = self._timing.vacancy_timeout + self._claim_delay()
+            self._vacancy_timeout = timeout * self._takeover_backoff.timeout_factor(now)
+        return now - self._vacant_since >= self._vacancy_timeout
+
+    def _claim_delay(self) -> timedelta:
+        """Return the wait for hosts ranked before this one, jittered if unranked."""
+        claim_delay = self._succession.claim_delay
+        if self._succession.is_successor:
+            return claim_delay
+        return claim_delay + self._random.random() * self._timing.claim_jitter
+
+    def _has_reachable_owner(self) -> bool:
         owned = self._directory.owned(self._pool)
         if owned is None or owned.owner.host == self._identity.host:
             return False
-        return self._directory.reach(self._pool) is OwnerReach.UP
+        return self._directory.owner_state(self._pool) is OwnerState.UP
 
     def _is_vacant(self) -> bool:
         owned = self._directory.owned(self._pool)
         if owned is None or owned.owner.host == self._identity.host:
             return True
-        match self._directory.reach(self._pool):
-            case OwnerReach.LOST | OwnerReach.GONE | OwnerReach.RESIGNING:
+        match self._directory.owner_state(self._pool):
+            case OwnerState.LOST | OwnerState.GONE | OwnerState.RESIGNING:
                 return True
-            case OwnerReach.EXPECTED:
-                # On slow hosts, takeovers could chain: each makes work for all hosts,
-                # so that the next owner answers later still and is replaced as well.
-                known_for = self._directory.known_for(self._pool)
-                return known_for >= self._timing.newcomer_timeout
-            case OwnerReach.UP:
+            case OwnerState.EXPECTED:
+                # Without this timeout, takeovers can cascade on slow hosts: each one
+                # loads all hosts, so the next owner answers even later and is replaced
+                # as well.
+                owner_age = self._directory.owner_age(self._pool)
+                return owner_age >= self._timing.new_owner_timeout
+            case OwnerState.UP:
                 return False
 
     async def _claim(self) -> None:
@@ -249,7 +254,7 @@
         try:
             version = await self._store.swap(key, value, expected)
         except StoreConflictError:
-            self._events.pool_claim_failed(self._pool, "taken by another host")
+            self._events.pool_claim_failed(self._pool, "claimed by another host")
             await self.refresh()
         except StoreUnavailableError as error:
             self._events.pool_claim_failed(self._pool, str(error))
@@ -257,26 +262,26 @@
             await self.refresh()
         else:
             entry_owner = OwnedPool(owner=record, token=FencingToken(version))
-            self._directory.learn(self._pool, entry_owner)
-            self._hold(entry_owner)
+            self._directory.update_owner(self._pool, entry_owner)
+            self._acquire(entry_owner)
 
-    def _hold(self, owned: OwnedPool) -> None:
+    def _acquire(self, owned: OwnedPool) -> None:
         self._token_held = owned.token
-        self._note_confirmed()
-        self._take(owned)
+        self._record_confirmation()
+        self._on_acquired(owned)
 
     async def refresh(self) -> None:
-        """Ask the store who owns the pool, and act on what it says."""
+        """Read the owner of the pool from the store, and apply any change."""
         try:
             entry = await self._store.get(pool_key(self._pool))
         except StoreUnavailableError as error:
             self._events.store_lost("pools", str(error))
             return
         if entry is None:
-            self._forget(pool_key(self._pool))
+            self._apply_removal(pool_key(self._pool))
         else:
-            self._learn(entry)
-        self._note_confirmed()
+            self._apply_entry(entry)
+        self._record_confirmation()
 
 
 __all__ = ["Ownership"]
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -1,4 +1,4 @@
-"""Run one host: serve its callers' jobs, and own its data centre's pool when due."""
+"""Run one host: coordinate its callers' jobs, and own the pool when elected."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from brasstray.batch.ids import NO_TOKEN, PoolId
 from brasstray.batch.outcome import BatchOutcome, BatchResult, GiveUpReason
-from brasstray.coordinator.coordinator import Coordinator, chain_of
-from brasstray.host.freeze_watch import FreezeWatch
-from brasstray.host.load_push import LoadPush
+from brasstray.coordinator.coordinator import Coordinator, critical_path
+from brasstray.host.load_notifier import LoadNotifier
 from brasstray.host.local_requester import LocalRequester
 from brasstray.host.minion_feed import MinionFeed
 from brasstray.host.operator_knowledge import OperatorKnowledge
 from brasstray.host.ownership import Ownership
 from brasstray.host.pool_directory import PoolDirectory
-from brasstray.host.pool_move import PoolMove
+from brasstray.host.pool_handover import PoolHandover
 from brasstray.host.requester_link import RequesterLink
 from brasstray.host.requester_links import RequesterLinks
 from brasstray.host.succession import Succession
+from brasstray.host.suspension_detector import SuspensionDetector
 from brasstray.peer.message.config_part import ConfigPart
 from brasstray.peer.message.config_wanted import ConfigWanted
 from brasstray.peer.message.hello import Hello
@@ -56,7 +56,7 @@
 
 
 class PoolHost:
-    """Join coordinator, ownership and owner of one host."""
+    """Connect the coordinator, the ownership and the pool owner of one host."""
 
     def __init__(
         self,
@@ -78,7 +78,7 @@
         self._evacuations = self._knowledge.evacuations
         self._pool = PoolId(str(identity.data_centre))
         self._requesters = RequesterLinks(identity.data_centre)
-        self._feed = MinionFeed(
+        self._minion_feed = MinionFeed(
             identity.data_centre,
             outside.minion_list,
             self._knowledge.config,
@@ -94,7 +94,7 @@
             timing,
             events,
             self._knowledge,
-            self.take_from_pool,
+            self.handle_pool_message,
             lambda pool, sent: self._coordinator.claim(pool, sent),
             lambda pool: self._coordinator.has_tasks_at(pool),
         )
@@ -111,83 +111,84 @@
             outside.random,
             timing,
             events,
-            self._take_pool,
-            self._leave_pool,
+            self._start_owner,
+            self._stop_owner,
             self._succession,
             self._evacuations,
         )
         self._owner: PoolOwner | None = None
         self._owner_scope: anyio.CancelScope | None = None
-        self._local = LocalRequester(
-            identity.host, partial(self.take_from_pool, self._pool)
+        self._local_requester = LocalRequester(
+            identity.host, partial(self.handle_pool_message, self._pool)
         )
         self._group: TaskGroup | None = None
         self._draining = False
-        self._move = PoolMove(
+        self._handover = PoolHandover(
             self._pool, identity.power, self._requesters, clock, events
         )
-        self._load_push = LoadPush(
-            clock, timing, lambda: self._owner, self._tell_other_owners
+        self._load_notifier = LoadNotifier(
+            clock, timing, lambda: self._owner, self._notify_other_owners
         )
-        self._freezes = FreezeWatch(
-            clock, outside.uptime, timing, events, self._is_at_work, self._distrust
+        self._suspension_detector = SuspensionDetector(
+            clock, outside.uptime, timing, events, self._is_active, self._discard_state
         )
-        self._leaves_at: timedelta | None = None
-        self._began_at: timedelta | None = None
+        self._drain_deadline: timedelta | None = None
+        self._started_at: timedelta | None = None
 
     @property
     def identity(self) -> HostIdentity:
-        """Return who this host is."""
+        """Return the identity of this host."""
         return self._identity
 
     @property
     def events(self) -> Events:
-        """Return who is told of decisions."""
+        """Return the receiver of this host's events."""
         return self._events
 
     @property
     def coordinator(self) -> Coordinator:
-        """Return what sees jobs through."""
+        """Return the coordinator of this host's jobs."""
         return self._coordinator
 
     @property
     def config(self) -> CurrentConfig:
-        """Return the configuration in force here."""
+        """Return the configuration in force on this host."""
         return self._knowledge.config
 
     @property
     def evacuations(self) -> Evacuations:
-        """Return the data centres that get nothing new, as far as is known here."""
+        """Return the evacuated data centres, as far as this host knows."""
         return self._evacuations
 
     @property
     def owner(self) -> PoolOwner | None:
-        """Return the owner, while this host owns its pool."""
+        """Return the owner, or None if this host does not own its pool."""
         return self._owner
 
     @property
     def owned_confirmed_ago(self) -> timedelta:
-        """Return how old the store's last word is that this host owns its pool."""
+        """Return how long ago the store last confirmed that this host owns its pool."""
         return self._clock.monotonic() - self._ownership.confirmed_at
 
     async def confirm_owned(self) -> None:
-        """Have the store confirm that this host owns its pool, if it thinks so.
+        """Check with the store that this host still owns its pool, if it owns one.
 
-        Guards against operators who see two owners: a host that was late, or whose
-        watch of the store has gone silent, goes on as the owner that it was. It leaves
-        the pool if the store says otherwise, and stays if the store says nothing.
+        Without this check, operators could see two owners: a host that was late, or
+        whose watch of the store went silent, still considers itself the owner. It gives
+        up the pool if the store lists another owner, and keeps it if the store does not
+        answer.
         """
         if self._owner is not None:
             await self._ownership.refresh()
 
     @property
     def draining(self) -> bool:
-        """Return whether this host is about to leave."""
+        """Return whether this host is draining."""
         return self._draining
 
     @property
     def ready(self) -> bool:
-        """Return whether callers should be sent here."""
+        """Return whether callers should be routed to this host."""
         return (
             not self._draining
             and self.config.current is not None
@@ -196,7 +197,7 @@
 
     @property
     def owners(self) -> dict[PoolId, OwnedPool]:
-        """Return who owns each pool, as far as is known here."""
+        """Return the owner of each pool, as far as this host knows."""
         return self._directory.owners
 
     @property
@@ -206,62 +207,65 @@
 
     @property
     def unasked(self) -> set[PoolId]:
-        """Return the pools not reachable, but for which a request may wait."""
+        """Return the pools that are not reachable yet, but accept requests."""
         return set(self._directory.unasked())
 
     @property
     def links(self) -> list[RequesterLink]:
-        """Return the connections that other hosts have opened to this one."""
+        """Return the connections on which other hosts request tasks from this one."""
         return list(self._requesters)
 
     async def run(self) -> None:
-        """Serve until cancelled."""
-        self._began_at = self._clock.monotonic()
+        """Run the host until cancelled."""
+        self._started_at = self._clock.monotonic()
         async with anyio.create_task_group() as group:
             self._group = group
-            self._directory.open(group)
+            self._directory.use_task_group(group)
             group.start_soon(self._knowledge.run)
             group.start_soon(self._follow_evacuations)
             group.start_soon(self._ownership.follow)
             group.start_soon(self._ownership.claim_when_vacant)
-            group.start_soon(self._coordinator.watch)
-            group.start_soon(self._freezes.run)
-            group.start_soon(self._load_push.run)
-            group.start_soon(self._move.watch, self._may_move)
+            group.start_soon(self._coordinator.watch_unreachable)
+            group.start_soon(self._suspension_detector.run)
+            group.start_soon(self._load_notifier.run)
+            group.start_soon(self._handover.watch, self._may_hand_over)
 
     def drain(self, time_left: timedelta | None = None) -> None:
-        """Have another host take the pool; go on with the jobs at work here.
+        """Have another host take over the pool; continue with the active jobs.
 
-        All jobs are answered by the end of `time_left`, if that is given. Guards also
-        against a pool without an owner: while the store is unreachable nobody can take
-        it, and this host goes on until somebody has.
+        All jobs are answered by the end of `time_left`, if that is given. This host
+        keeps the pool until another host has claimed it: while the store is
+        unreachable, no host can, and the pool would have no owner.
         """
         if self._draining:
             return
         self._draining = True
         self._events.draining()
         self._ownership.drain()
-        self._requesters.tell_state()
+        self._requesters.send_state()
         if time_left is not None:
-            self._leaves_at = self._clock.monotonic() + time_left
+            self._drain_deadline = self._clock.monotonic() + time_left
             assert self._group is not None
             self._group.start_soon(self._end_jobs_after, time_left)
 
     async def _end_jobs_after(self, time_left: timedelta) -> None:
         await self._clock.sleep(time_left)
-        self._coordinator.end_all()
+        self._coordinator.end_all_jobs()
 
     async def first_config(self) -> Configuration | None:
-        """Return the configuration in force, after a moment's wait if there is none.
+        """Return the configuration in force, or None if there is none.
 
-        Guards against callers who are turned away by hosts that were all just started,
-        in the moment between listening and the store's answer. Later than that nobody
-        knows when one will come, and they are told at once.
+        In the first `first_config_timeout` after its start, the host waits for one.
+        Otherwise, callers would be rejected when all hosts have just started, between
+        listening and the first answer of the store. Later, it is not known when a
+        configuration will arrive, and callers are told immediately.
         """
         if self.config.current is None:
             now = self._clock.monotonic()
-            since = now - self._began_at if self._began_at is not None else timedelta(0)
-            left = max(timedelta(0), self._timing.config_hold - since)
+            since = (
+                now - self._started_at if self._started_at is not None else timedelta(0)
+            )
+            left = max(timedelta(0), self._timing.first_config_timeout - since)
             with anyio.move_on_after(left.total_seconds()):
                 await self.config.wait_known()
         return self.config.current
@@ -269,27 +273,27 @@
     async def run_job(
         self, batch: Batch, queue: Queue, timeout: timedelta
     ) -> BatchResult:
-        """Return the result of `batch`, whose caller waits for `timeout`.
+        """Run `batch` and return its result, at the latest after `timeout`.
 
-        Guards against requests that come on open connections while this host leaves:
-        one that is read and still waits when the process ends has no answer at all.
-        What cannot be done before that is refused at once; nothing of it has run.
+        Requests still arrive on open connections while this host drains. One that is
+        unfinished when the process ends would get no answer, so a job that cannot
+        complete before that is refused immediately, as not run.
         """
-        if self._leaves_at is not None:
-            left = self._leaves_at - self._clock.monotonic()
-            if chain_of(batch) >= left:
+        if self._drain_deadline is not None:
+            left = self._drain_deadline - self._clock.monotonic()
+            if critical_path(batch) >= left:
                 self._events.request_refused(
                     batch.id, GiveUpReason.STOPPING, f"{left // _MILLISECOND} ms left"
                 )
                 return BatchResult(BatchOutcome.NOT_RUN, GiveUpReason.STOPPING)
         return await self._coordinator.run(batch, queue, timeout)
 
-    # Owning
+    # Ownership of the pool
 
-    def _take_pool(self, owned: OwnedPool) -> None:
+    def _start_owner(self, owned: OwnedPool) -> None:
         assert self._group is not None
         if self._owner is not None:
-            self._leave_pool("a newer claim of ours")
+            self._stop_owner("superseded by a newer claim of this host")
         owner = self._owner = PoolOwner(
             self._pool,
             owned.token,
@@ -300,54 +304,54 @@
             self._directory,
             self._events,
             lambda: self._ownership.confirm(owned),
-            self._feed.held,
+            self._minion_feed.held,
             lambda: self._evacuations.covers(self._pool),
         )
         self._events.pool_taken(self._pool, owned.token, "claimed")
-        self._move.begin()
+        self._handover.start_tenure()
         self._owner_scope = anyio.CancelScope()
         self._group.start_soon(self._run_owner, owner, self._owner_scope)
-        self._directory.own(self._pool, self._take_local, self._load)
-        self._requesters.tell_state()
+        self._directory.set_local_pool(self._pool, self._handle_local, self._load)
+        self._requesters.send_state()
         self._coordinator.claim(self._pool)
 
     async def _run_owner(self, owner: PoolOwner, scope: anyio.CancelScope) -> None:
         with scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._feed.follow, owner)
+                group.start_soon(self._minion_feed.follow, owner)
                 await owner.run()
                 group.cancel_scope.cancel()
         if owner is self._owner and owner.deposed:
-            self._ownership.drop()
-            self._leave_pool("a minion has seen a higher token")
+            self._ownership.release()
+            self._stop_owner("a minion has seen a higher token")
 
-    def _may_move(self) -> bool:
+    def _may_hand_over(self) -> bool:
         return self._owner is not None and not self._draining
 
-    def _leave_pool(self, why: str) -> None:
-        self._move.end()
+    def _stop_owner(self, reason: str) -> None:
+        self._handover.end_tenure()
         owner, self._owner = self._owner, None
         if owner is None or self._owner_scope is None:
             return
-        self._directory.disown()
+        self._directory.clear_local_pool()
         self._owner_scope.cancel()
-        self._events.pool_left(self._pool, owner.token, why)
-        self._requesters.tell_state()
+        self._events.pool_left(self._pool, owner.token, reason)
+        self._requesters.send_state()
 
     async def _follow_evacuations(self) -> None:
-        """Act on each change, and tell it to the hosts that are linked to this one.
+        """Apply each change of the evacuations, and send it to the connected hosts.
 
-        Waiting tasks are evacuated, or get slots again, and hosts that the store turns
-        away hear of it within a heartbeat.
+        Waiting tasks are moved to other pools, or may start again, and hosts that the
+        store rejects learn of the change within a heartbeat.
         """
         while True:
             await self._evacuations.wait_for_change()
             if self._owner is not None:
                 self._owner.review()
-            self._requesters.tell_state()
+            self._requesters.send_state()
 
-    def _tell_other_owners(self) -> None:
-        self._requesters.tell_state(self._directory.owns_other_pool)
+    def _notify_other_owners(self) -> None:
+        self._requesters.send_state(self._directory.owns_other_pool)
 
     def _load(self) -> PoolLoad:
         return self._owner.load() if self._owner is not None else PoolLoad()
@@ -362,17 +366,17 @@
             free_slots=load.free_slots,
             wait_ms=load.wait_ms,
             ready=owner is not None and owner.recovered,
-            resigning=self._draining or self._move.asked,
+            resigning=self._draining or self._handover.requested,
             config_version=self.config.version,
             evacuations=self._evacuations.current,
         )
 
-    # Messages to the owner
+    # Messages to the owner of the local pool
 
     async def serve(self, stream: MessageStream) -> None:
-        """Serve a host that has opened a connection, until it ends."""
+        """Serve a connection that another host has opened, until it closes."""
         link = RequesterLink(
-            stream, self._clock, self._timing, self._state, self._take_request
+            stream, self._clock, self._timing, self._state, self._handle_request
         )
         self._requesters.add(link)
         try:
@@ -380,23 +384,23 @@
         finally:
             self._requesters.discard(link)
             if self._owner is not None:
-                self._requesters.name_successors()
+                self._requesters.announce_successors()
         if reason != "silent":
-            # The host may come back on another connection and ask again; its runs go
-            # on for as long as if it had only been silent.
+            # The host may reconnect and claim its tasks: its runs continue for as long
+            # as if it had only been silent.
             await self._clock.sleep(self._timing.pool.requester_silence)
         self._events.requester_lost(link.name, reason)
         if self._owner is not None:
             self._owner.lose_requester(link)
 
-    def _take_request(self, link: RequesterLink, message: PoolMessage) -> None:
+    def _handle_request(self, link: RequesterLink, message: PoolMessage) -> None:
         match message:
             case Hello():
-                link.introduce(message)
+                link.record_hello(message)
                 self._events.requester_up(link.name)
                 if self._owner is not None:
-                    self._feed.tell(link)
-                    self._requesters.name_successors()
+                    self._minion_feed.tell(link)
+                    self._requesters.announce_successors()
                 self._knowledge.hear(link.name, message, link.tell)
             case Ping():
                 self._knowledge.hear(link.name, message, link.tell)
@@ -409,51 +413,51 @@
                 if self._owner is not None:
                     self._owner.stop_tasks(link, message.batch)
 
-    def _take_local(self, message: PoolMessage) -> None:
+    def _handle_local(self, message: PoolMessage) -> None:
         if self._owner is None:
             return
         if isinstance(message, RunTasks):
-            self._owner.run_tasks(self._local, message)
+            self._owner.run_tasks(self._local_requester, message)
         elif isinstance(message, StopTasks):
-            self._owner.stop_tasks(self._local, message.batch)
+            self._owner.stop_tasks(self._local_requester, message.batch)
 
     # Messages to the coordinator
 
-    def take_from_pool(self, pool: PoolId, message: PoolMessage) -> None:
-        """Take what the owner of `pool` tells."""
+    def handle_pool_message(self, pool: PoolId, message: PoolMessage) -> None:
+        """Handle a message from the owner of `pool`."""
         match message:
             case TasksEnded():
-                self._coordinator.take_ended(pool, message)
+                self._coordinator.handle_tasks_ended(pool, message)
             case TasksReturned():
-                self._coordinator.take_returned(pool, message)
+                self._coordinator.handle_tasks_returned(pool, message)
             case PoolState():
-                self._directory.heard_load(pool)
+                self._directory.reset_reserved_slots(pool)
                 if message.free_slots and self._owner is not None:
                     self._owner.review()
                 tell = partial(self._directory.tell, pool)
                 self._knowledge.hear(str(pool), message, tell)
             case Successors() if pool == self._pool:
-                self._succession.name(message.hosts)
+                self._succession.set_successors(message.hosts)
             case PoolMinions() if pool == self._pool:
-                self._feed.hear(message.minions)
+                self._minion_feed.hear(message.minions)
             case ConfigWanted() | ConfigPart():
                 tell = partial(self._directory.tell, pool)
                 self._knowledge.take(str(pool), message, tell)
 
-    def _is_at_work(self) -> bool:
+    def _is_active(self) -> bool:
         return self._owner is not None or self._coordinator.active > 0
 
-    def _distrust(self) -> None:
-        """Drop the pool and every job, after a suspension.
+    def _discard_state(self) -> None:
+        """Give up the pool and end every job, after a suspension.
 
-        Guards against orders of an owner that was suspended while another took its
-        pool: minions that the other has not reached yet would obey. What the
-        coordinator asked for is gone too, since owners heard nothing of it.
+        Another host may have taken over the pool during the suspension, and minions
+        that the new owner has not reached yet would still obey this one. The tasks that
+        the coordinator requested are lost too, because owners received no heartbeats.
         """
         if self._owner is not None:
-            self._ownership.drop()
-            self._leave_pool("was suspended")
-        self._coordinator.end_all()
+            self._ownership.release()
+            self._stop_owner("process was suspended")
+        self._coordinator.end_all_jobs()
 
 
 __all__ = ["PoolHost"]
--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -1,4 +1,4 @@
-"""Keep a connection to the owner of one pool."""
+"""Maintain a connection to the owner of one pool."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 import anyio
 
 from brasstray.batch.task_name import TaskName
-from brasstray.host.owner_reach import OwnerReach
+from brasstray.host.owner_state import OwnerState
 from brasstray.peer.message.hello import Hello
 from brasstray.peer.message.ping import Ping
 from brasstray.peer.message.pool_state import PoolState
@@ -33,23 +33,25 @@
     from brasstray.peer.pool_messages import PoolMessage
 
 
-# Bursts that forward tasks return within seconds; keeping the link saves reopening it.
-IDLE_TIME = timedelta(seconds=3)
-# How long a request waits for a link that cannot be opened, about a takeover.
-EARLY_TIMEOUT = timedelta(milliseconds=300)
-# After it could not be reached, an owner is not asked for this long while others are.
-AVOIDED_TIME = timedelta(seconds=1)
+# Bursts that forward tasks recur within seconds; an open link avoids reconnecting.
+IDLE_TIMEOUT = timedelta(seconds=3)
+# How long a request waits for a link that cannot be opened, about the duration of a
+# takeover.
+QUEUED_REQUEST_TIMEOUT = timedelta(milliseconds=300)
+# After a connection to an owner fails, other owners get its requests for this long.
+UNREACHABLE_BACKOFF = timedelta(seconds=1)
 
 
 class PoolLink:
-    """Connect to an owner while it is wanted, and tell whether it is reachable.
+    """Connect to an owner while the link is needed, and track whether it is reachable.
 
-    The owner is reachable once it has said that it owns the pool under the token that
-    the store shows, or a higher one.
+    The owner is reachable once it has reported that it owns the pool under the token in
+    the store, or a higher one.
 
-    Heartbeats of links from every host to every owner would grow with the fleet. So a
-    link is kept where `keep` says so, and else opened with the first request and closed
-    once nothing was sent for IDLE_TIME and `busy` denies that tasks are there.
+    If every host kept a link to every owner, the number of heartbeats would grow with
+    the fleet. So a link stays open only if `keep_open` returns True. Any other link is
+    opened with the first request, and closed when no request was sent for IDLE_TIMEOUT
+    and `has_tasks` returns False.
     """
 
     def __init__(
@@ -62,11 +64,11 @@
         timing: HostTiming,
         events: HostEvents,
         knowledge: OperatorKnowledge,
-        take: Callable[[PoolId, PoolMessage], None],
-        up: Callable[[PoolId, frozenset[TaskName]], None],
-        keep: Callable[[PoolId], bool],
-        busy: Callable[[PoolId], bool],
-        changed: Callable[[], None],
+        on_message: Callable[[PoolId, PoolMessage], None],
+        on_reachable: Callable[[PoolId, frozenset[TaskName]], None],
+        keep_open: Callable[[PoolId], bool],
+        has_tasks: Callable[[PoolId], bool],
+        on_change: Callable[[], None],
     ) -> None:
         self._pool = pool
         self._owned = owned
@@ -76,99 +78,103 @@
         self._timing = timing
         self._events = events
         self._knowledge = knowledge
-        self._take_message = take
-        self._up = up
-        self._keep = keep
-        self._busy = busy
-        self._changed = changed
-        self._wanted = anyio.Event()
-        self._early: list[RunTasks] = []
-        self._asked_at = clock.monotonic()
+        self._on_message = on_message
+        self._on_reachable = on_reachable
+        self._keep_open = keep_open
+        self._has_tasks = has_tasks
+        self._on_change = on_change
+        self._wake = anyio.Event()
+        self._queued: list[RunTasks] = []
+        self._last_request_at = clock.monotonic()
         self._failed_at: timedelta | None = None
         self._pipe: Pipe | None = None
-        self._sent_early: set[TaskName] = set()
-        self._idle = False
-        self._named = True
-        self._state: PoolState | None = None
+        self._tasks_sent_early: set[TaskName] = set()
+        self._closed_as_idle = False
+        self._is_successor = True
+        self._pool_state: PoolState | None = None
         self._scope = anyio.CancelScope()
-        self._reach = OwnerReach.EXPECTED
+        self._owner_state = OwnerState.EXPECTED
         self._learned_at = clock.monotonic()
 
     @property
-    def state(self) -> PoolState | None:
-        """Return what the owner last said, while it is reachable."""
-        return self._state
+    def pool_state(self) -> PoolState | None:
+        """Return the last state that the owner sent, or None if it is unreachable."""
+        return self._pool_state
 
     @property
-    def reach(self) -> OwnerReach:
-        """Return what the link shows of the owner."""
-        return self._reach
+    def owner_state(self) -> OwnerState:
+        """Return what this link knows about the owner."""
+        return self._owner_state
 
     @property
-    def may_be_asked(self) -> bool:
-        """Return whether a request may wait here for the link, as far as is known."""
-        if self._state is not None or self._reach is not OwnerReach.EXPECTED:
+    def is_connectable(self) -> bool:
+        """Return whether a request may be queued here until the link is open."""
+        if self._pool_state is not None or self._owner_state is not OwnerState.EXPECTED:
             return False
         failed = self._failed_at
         now = self._clock.monotonic()
-        return failed is None or now - failed >= AVOIDED_TIME
+        return failed is None or now - failed >= UNREACHABLE_BACKOFF
 
-    def known_for(self, now: timedelta) -> timedelta:
-        """Return for how long the owner has been known as such."""
+    def owner_age(self, now: timedelta) -> timedelta:
+        """Return how long ago this host learned of the owner."""
         return now - self._learned_at
 
     def tell(self, message: PoolMessage) -> None:
-        """Send `message`; a request opens the link, anything else is dropped then."""
+        """Send `message`; without a link, queue a new request and drop the rest."""
         match message:
             case RunTasks():
-                self._ask(message)
+                self._send_request(message)
             case StopTasks() if self._pipe is None:
                 # A request sent after its job has ended would start orphaned runs.
-                self._early = [r for r in self._early if r.batch != message.batch]
+                self._queued = [r for r in self._queued if r.batch != message.batch]
             case _ if self._pipe is not None:
                 self._pipe.tell(message)
 
-    def _ask(self, request: RunTasks) -> None:
-        self._asked_at = self._clock.monotonic()
-        self._wanted.set()
-        if self._state is None:
-            self._sent_early.update(_tasks_of(request))
+    def _send_request(self, request: RunTasks) -> None:
+        self._last_request_at = self._clock.monotonic()
+        self._wake.set()
+        if self._pool_state is None:
+            self._tasks_sent_early.update(_tasks_of(request))
         if self._pipe is not None:
             self._pipe.tell(request)
         elif not request.claimed:
-            self._early.append(request)
+            self._queued.append(request)
 
-    def want(self) -> None:
-        """Open the link now."""
-        self._wanted.set()
+    def request_connection(self) -> None:
+        """Open the link, if it is closed."""
+        self._wake.set()
 
     def stop(self) -> None:
-        """End `run`."""
+        """Stop `run` and close the link."""
         self._scope.cancel()
 
     async def run(self) -> None:
-        """Stay connected while the owner is wanted, until stopped."""
+        """Stay connected while the link is needed, until stopped."""
         with self._scope:
             while True:
-                if not (self._keep(self._pool) or self._busy(self._pool)):
-                    await self._wanted.wait()
-                self._wanted.set()
+                if not (self._keep_open(self._pool) or self._has_tasks(self._pool)):
+                    await self._wake.wait()
+                self._wake.set()
                 await self._connect_once()
-                await self._clock.sleep(self._timing.reconnect)
+                await self._clock.sleep(self._timing.reconnect_delay)
 
     async def _connect_once(self) -> None:
         owner = self._owned.owner
         try:
             stream = await self._opener.open(owner.address, owner.port)
         except NobodyListensError:
-            self._lose("nobody listens", OwnerReach.GONE)
+            self._mark_unreachable(
+                "connection refused: no process listens", OwnerState.GONE
+            )
             self._return_unsent()
             return
         except StreamClosedError:
             self._return_unsent()
             return
-        self._named = True
-        pipe = self._pipe = Pipe(stream, self._timing.owner_silence, self._take)
+        self._is_successor = True
+        pipe = self._pipe = Pipe(
+            stream, self._timing.owner_silence_timeout, self._handle_message
+        )
         reason = "stopped"
         pipe.tell(
             Hello(
@@ -179,10 +185,12 @@
                 power=self._identity.power,
             )
         )
-        early = self.take_early()
-        for request in early:
+        requests = self.take_queued_requests()
+        for request in requests:
             pipe.tell(request)
-        self._sent_early = {task for request in early for task in _tasks_of(request)}
+        self._tasks_sent_early = {
+            task for request in requests for task in _tasks_of(request)
+        }
         try:
             async with anyio.create_task_group() as group:
                 group.start_soon(self._ping, pipe, group.cancel_scope)
@@ -190,51 +198,59 @@
                 group.cancel_scope.cancel()
         finally:
             self._pipe = None
-            if self._idle:
-                self._rest()
+            if self._closed_as_idle:
+                self._reset_after_idle()
             else:
-                self._lose(reason, OwnerReach.LOST)
+                self._mark_unreachable(reason, OwnerState.LOST)
 
-    def take_early(self) -> list[RunTasks]:
-        """Return the requests that wait for the link, and forget them."""
-        early, self._early = self._early, []
-        return early
+    def take_queued_requests(self) -> list[RunTasks]:
+        """Return the requests queued for the link, and clear the queue."""
+        requests, self._queued = self._queued, []
+        return requests
 
     def _return_unsent(self) -> None:
-        """Return requests that never left this host, as their pool is unreachable.
+        """Return queued requests to the coordinator, as their pool is unreachable.
 
-        Guards against a job that waits for a link that cannot be opened, as to a data
-        centre beyond a cut: it is known that nothing of it was sent. Before that, the
-        owner may be one that has just died, and a successor about to take over.
+        Otherwise a job would wait for a link that cannot be opened, for example to a
+        data centre that is cut off, although nothing of it was sent. Requests stay
+        queued for QUEUED_REQUEST_TIMEOUT first, because the owner may have just died
+        and a successor may be about to take over.
         """
         self._failed_at = self._clock.monotonic()
-        if self._early and self._failed_at - self._asked_at < EARLY_TIMEOUT:
+        if (
+            self._queued
+            and self._failed_at - self._last_request_at < QUEUED_REQUEST_TIMEOUT
+        ):
             return
-        for request in self.take_early():
+        for request in self.take_queued_requests():
             returned = TasksReturned(
                 batch=request.batch,
                 step=request.step,
                 indices=request.indices,
                 begun=request.begun,
             )
-            self._take_message(self._pool, returned)
-        if not self._keep(self._pool):
-            self._wanted = anyio.Event()
+            self._on_message(self._pool, returned)
+        if not self._keep_open(self._pool):
+            self._wake = anyio.Event()
 
-    def _rest(self) -> None:
-        """Record that the link is closed since nobody needs it."""
-        self._idle = False
-        self._state = None
-        self._reach = OwnerReach.EXPECTED
-        self._wanted = anyio.Event()
+    def _reset_after_idle(self) -> None:
+        """Reset the state after the link was closed as idle."""
+        self._closed_as_idle = False
+        self._pool_state = None
+        self._owner_state = OwnerState.EXPECTED
+        self._wake = anyio.Event()
 
     async def _ping(self, pipe: Pipe, scope: anyio.CancelScope) -> None:
         while True:
-            often = self._named or self._busy(self._pool)
+            frequent = self._is_successor or self._has_tasks(self._pool)
             timing = self._timing
-            await self._clock.sleep(timing.ping if often else timing.slow_ping)
+            await self._clock.sleep(
+                timing.heartbeat_interval
+                if frequent
+                else timing.slow_heartbeat_interval
+            )
             if self._is_idle():
-                self._idle = True
+                self._closed_as_idle = True
                 scope.cancel()
             pipe.tell(
                 Ping(
@@ -244,50 +260,54 @@
             )
 
     def _is_idle(self) -> bool:
-        if self._keep(self._pool) or self._busy(self._pool):
+        if self._keep_open(self._pool) or self._has_tasks(self._pool):
             return False
-        return self._clock.monotonic() - self._asked_at >= IDLE_TIME
+        return self._clock.monotonic() - self._last_request_at >= IDLE_TIMEOUT
 
-    def _take(self, message: PoolMessage) -> None:
+    def _handle_message(self, message: PoolMessage) -> None:
         if isinstance(message, PoolState):
-            self._see(message)
+            self._update_state(message)
         elif isinstance(message, Successors) and self._pipe is not None:
-            self._named = self._identity.host in message.hosts
+            self._is_successor = self._identity.host in message.hosts
             timing = self._timing
             self._pipe.allow_silence(
-                timing.owner_silence if self._named else timing.slow_owner_silence
+                timing.owner_silence_timeout
+                if self._is_successor
+                else timing.slow_owner_silence_timeout
             )
-        self._take_message(self._pool, message)
-
-    def _see(self, state: PoolState) -> None:
-        if state.pool == self._pool and state.token >= self._owned.token:
-            was_up = self._state is not None
-            self._state = state
-            resigns = state.resigning
-            self._set_reach(OwnerReach.RESIGNING if resigns else OwnerReach.UP)
+        self._on_message(self._pool, message)
+
+    def _update_state(self, pool_state: PoolState) -> None:
+        if pool_state.pool == self._pool and pool_state.token >= self._owned.token:
+            was_up = self._pool_state is not None
+            self._pool_state = pool_state
+            resigning = pool_state.resigning
+            self._set_owner_state(OwnerState.RESIGNING if resigning else OwnerState.UP)
             if not was_up:
                 self._events.link_up(self._pool, self._owned.owner.host)
                 self._failed_at = None
-                # Requests that opened the link were sent on it, and the owner may have
-                # returned their tasks for another pool by now. Claimed as well, they
-                # would be queued here and could run twice.
-                self._up(self._pool, frozenset(self._sent_early))
-                self._sent_early.clear()
-        elif state.incarnation != self._owned.owner.incarnation:
-            self._lose("another process runs there", OwnerReach.GONE)
-        elif self._reach is not OwnerReach.EXPECTED:
-            self._lose("not the owner", OwnerReach.GONE)
-
-    def _set_reach(self, reach: OwnerReach) -> None:
-        if reach is not self._reach:
-            self._reach = reach
-            self._changed()
-
-    def _lose(self, reason: str, reach: OwnerReach) -> None:
-        if self._reach is not OwnerReach.EXPECTED or reach is OwnerReach.GONE:
-            self._set_reach(reach)
-        if self._state is not None:
-            self._state = None
+                # The requests that opened the link were sent on it, and the owner may
+                # have returned their tasks for another pool by now. If they were
+                # claimed as well, the owner would queue them and they could run twice.
+                self._on_reachable(self._pool, frozenset(self._tasks_sent_early))
+                self._tasks_sent_early.clear()
+        elif pool_state.incarnation != self._owned.owner.incarnation:
+            self._mark_unreachable(
+                "another incarnation runs at its address", OwnerState.GONE
+            )
+        elif self._owner_state is not OwnerState.EXPECTED:
+            self._mark_unreachable("no longer the owner", OwnerState.GONE)
+
+    def _set_owner_state(self, owner_state: OwnerState) -> None:
+        if owner_state is not self._owner_state:
+            self._owner_state = owner_state
+            self._on_change()
+
+    def _mark_unreachable(self, reason: str, new: OwnerState) -> None:
+        if self._owner_state is not OwnerState.EXPECTED or new is OwnerState.GONE:
+            self._set_owner_state(new)
+        if self._pool_state is not None:
+            self._pool_state = None
             self._events.link_down(self._pool, self._owned.owner.host, reason)
 
 
--- a/tests/coordinator/test_coordinator.py
+++ b/tests/coordinator/test_coordinator.py
@@ -1,4 +1,4 @@
-"""Check what a coordinator asks of pools and what it tells callers."""
+"""Check what a coordinator requests from pools and reports to callers."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from brasstray.batch.resources import Resources
 from brasstray.batch.step import Step
 from brasstray.clock.loop import LoopClock
-from brasstray.coordinator.coordinator import Coordinator, chain_of
+from brasstray.coordinator.coordinator import Coordinator, critical_path
 from brasstray.coordinator.timing import CoordinatorTiming
 from brasstray.peer.message.run_tasks import RunTasks
 from brasstray.peer.message.stop_tasks import StopTasks
@@ -26,7 +26,7 @@
 
 HOME, AWAY = PoolId("home"), PoolId("away")
 JOB = BatchId("a" * 16)
-PATIENCE = timedelta(seconds=2)
+CALLER_TIMEOUT = timedelta(seconds=2)
 
 
 @dataclass
@@ -59,32 +59,32 @@
         return [p for p, m in self.told if isinstance(m, StopTasks)]
 
 
-class Silent:
+class NullEvents:
     def __getattr__(self, name):
         return lambda *_, **__: None
 
 
 def with_coordinator(steps, batch=None, loads=None):
-    """Return the result of a job while `steps` plays what the pools tell."""
+    """Return the result, duration and pools of a job; `steps` acts as its pools."""
 
-    async def whole():
+    async def main():
         pools = FakePools()
         if loads is not None:
             pools.loads = loads
         coordinator = Coordinator(
-            HOME, pools, LoopClock(), CoordinatorTiming(), Silent()
+            HOME, pools, LoopClock(), CoordinatorTiming(), NullEvents()
         )
         results = []
 
         async def run():
             found = await coordinator.run(
-                batch or usual_batch(JOB, 2), usual_queue(), PATIENCE
+                batch or usual_batch(JOB, 2), usual_queue(), CALLER_TIMEOUT
             )
             results.append((found, anyio.current_time() - began))
 
         began = anyio.current_time()
         async with anyio.create_task_group() as group:
-            group.start_soon(coordinator.watch)
+            group.start_soon(coordinator.watch_unreachable)
             group.start_soon(run)
             await anyio.sleep(0.01)
             outcome = steps(coordinator, pools)
@@ -95,7 +95,7 @@
             group.cancel_scope.cancel()
         return results[0][0], results[0][1], pools
 
-    return run_virtual(whole)
+    return run_virtual(main)
 
 
 def ended(*done, failed=(), step=0):
@@ -108,8 +108,8 @@
 
 def test_a_job_succeeds_once_all_tasks_are_done():
     def steps(coordinator, pools):
-        coordinator.take_ended(HOME, ended(0))
-        coordinator.take_ended(HOME, ended(1))
+        coordinator.handle_tasks_ended(HOME, ended(0))
+        coordinator.handle_tasks_ended(HOME, ended(1))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.SUCCEEDED
@@ -119,7 +119,7 @@
 
 def test_a_failed_task_ends_the_job_and_stops_the_others():
     def steps(coordinator, pools):
-        coordinator.take_ended(HOME, ended(failed=(0,)))
+        coordinator.handle_tasks_ended(HOME, ended(failed=(0,)))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.FAILED
@@ -129,37 +129,37 @@
 @pytest.mark.parametrize(
     ("told", "outcome"),
     [
-        # Nothing was ever sent to a minion.
+        # No task was sent to a minion.
         ([returned(0, 1, wait_ms=2_500)], BatchOutcome.NOT_RUN),
-        # One task is done, so the job has run in part.
+        # One task is done: the job has partly run.
         ([ended(0), returned(1, wait_ms=2_500)], BatchOutcome.UNKNOWN),
-        # The other task is still at the pool, and may be at work.
+        # The other task is still placed at the pool and may be running.
         ([returned(1, wait_ms=2_500)], BatchOutcome.UNKNOWN),
-        # A run had begun and was stopped before the task was given back.
+        # A run was started and stopped before the task was returned.
         ([returned(0, 1, wait_ms=2_500, begun=True)], BatchOutcome.UNKNOWN),
-        # Nobody can tell whether the tasks are at work.
+        # The owner does not know whether the tasks are running.
         ([returned(0, 1, outcome_unknown=True)], BatchOutcome.UNKNOWN),
     ],
 )
-def test_a_job_is_said_not_to_have_run_only_if_it_has_not(told, outcome):
+def test_not_run_is_reported_only_if_nothing_has_run(told, outcome):
     def steps(coordinator, pools):
         for message in told:
             if isinstance(message, TasksEnded):
-                coordinator.take_ended(HOME, message)
+                coordinator.handle_tasks_ended(HOME, message)
             else:
-                coordinator.take_returned(HOME, message)
+                coordinator.handle_tasks_returned(HOME, message)
 
     result, _, _ = with_coordinator(steps)
     assert result.outcome is outcome
 
 
-def test_a_job_that_had_begun_elsewhere_is_not_said_not_to_have_run():
-    # A task begins at the home pool on a minion that stands still. It is stopped and
-    # goes to another pool, which is full and gives it back. The caller is told that
-    # nothing ran, though a run had begun: she would submit it as new elsewhere.
+def test_a_job_that_began_at_another_pool_is_not_reported_as_not_run():
+    # Guards against "not run" answers to jobs that have begun, which callers submit as
+    # new. A task starts at the home pool on a minion that hangs, is stopped there and
+    # sent to another pool, which is full and returns it.
     def steps(coordinator, pools):
-        coordinator.take_returned(HOME, returned(0, 1, pool=AWAY, begun=True))
-        coordinator.take_returned(AWAY, returned(0, 1, wait_ms=900))
+        coordinator.handle_tasks_returned(HOME, returned(0, 1, pool=AWAY, begun=True))
+        coordinator.handle_tasks_returned(AWAY, returned(0, 1, wait_ms=900))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.UNKNOWN
@@ -167,22 +167,22 @@
 
 
 def test_a_claim_counts_as_begun():
-    # The owner of a pool dies with tasks of a job; its successor knows nothing of them
-    # and gives them back. The dead owner may have started them.
+    # The owner of a pool dies while it has tasks of a job. Its successor does not know
+    # them and returns them, but the dead owner may have started them.
     def steps(coordinator, pools):
         coordinator.claim(HOME)
-        coordinator.take_returned(HOME, returned(0, 1, wait_ms=900))
+        coordinator.handle_tasks_returned(HOME, returned(0, 1, wait_ms=900))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.UNKNOWN
     assert pools.runs()[-1][1].claimed
 
 
-def test_returned_tasks_go_to_the_pool_that_has_room():
+def test_returned_tasks_go_to_the_pool_with_free_slots():
     def steps(coordinator, pools):
-        coordinator.take_returned(HOME, returned(1, pool=AWAY))
-        coordinator.take_ended(HOME, ended(0))
-        coordinator.take_ended(AWAY, ended(1))
+        coordinator.handle_tasks_returned(HOME, returned(1, pool=AWAY))
+        coordinator.handle_tasks_ended(HOME, ended(0))
+        coordinator.handle_tasks_ended(AWAY, ended(1))
 
     result, _, pools = with_coordinator(steps)
     assert result.outcome is BatchOutcome.SUCCEEDED
@@ -190,10 +190,10 @@
     assert sent == [(HOME, (0, 1), False), (AWAY, (1,), True)]
 
 
-def test_tasks_at_a_pool_out_of_reach_are_given_up_after_a_while():
-    # The lines to a data centre fail while it runs tasks of a job. They may go on
-    # there, so they are not started elsewhere; the caller is told soon enough to ask
-    # again, and not that nothing has run.
+def test_a_job_ends_after_its_pool_is_unreachable_for_the_timeout():
+    # The network to a data centre fails while it runs tasks of a job. They may keep
+    # running, so they are not started elsewhere. The caller gets an answer early enough
+    # to submit the job again, and not the answer that nothing has run.
     def steps(coordinator, pools):
         del pools.loads[HOME]
 
@@ -203,7 +203,7 @@
     assert 0.85 < took < 1.1
 
 
-def test_without_any_pool_the_caller_is_told_when_to_come_back():
+def test_without_any_pool_the_caller_is_told_when_to_retry():
     result, took, pools = with_coordinator(lambda *_: None, loads={})
     assert result.outcome is BatchOutcome.NOT_RUN
     assert result.reason is GiveUpReason.NO_POOL
@@ -212,7 +212,7 @@
     assert pools.told == []
 
 
-def test_a_later_step_waits_for_those_before_it():
+def test_a_step_waits_for_the_steps_it_depends_on():
     needs = Resources(1_000)
     batch = Batch(
         JOB,
@@ -224,18 +224,18 @@
     )
 
     def steps(coordinator, pools):
-        coordinator.take_ended(HOME, ended(0))
+        coordinator.handle_tasks_ended(HOME, ended(0))
         assert [m.step for _, m in pools.runs()] == [0]
-        coordinator.take_ended(HOME, ended(1))
+        coordinator.handle_tasks_ended(HOME, ended(1))
         assert [m.step for _, m in pools.runs()] == [0, 1]
-        coordinator.take_ended(HOME, ended(0, step=1))
+        coordinator.handle_tasks_ended(HOME, ended(0, step=1))
 
     result, _, _ = with_coordinator(steps, batch)
     assert result.outcome is BatchOutcome.SUCCEEDED
-    assert chain_of(batch) == timedelta(milliseconds=120)
+    assert critical_path(batch) == timedelta(milliseconds=120)
 
 
-def test_the_deadline_ends_a_job_whose_tasks_do_not():
+def test_the_deadline_ends_a_job_whose_tasks_do_not_end():
     result, took, pools = with_coordinator(lambda *_: None)
     assert result.outcome is BatchOutcome.UNKNOWN
     assert result.reason is GiveUpReason.TOO_LATE
@@ -247,26 +247,27 @@
     return TasksReturned(batch=JOB, step=0, indices=(0, 1), pool=pool, evacuated=True)
 
 
-def test_tasks_from_an_evacuated_pool_may_be_passed_on_once_more():
-    # The next pool may be full by the time they come, while a third has room.
-    def story(coordinator, pools):
-        coordinator.take_returned(HOME, returned_evacuated(AWAY))
+def test_tasks_from_an_evacuated_pool_may_be_forwarded_once_more():
+    # The next pool may be full when they arrive, while a third has free slots.
+    def steps(coordinator, pools):
+        coordinator.handle_tasks_returned(HOME, returned_evacuated(AWAY))
 
-    _, _, pools = with_coordinator(story, usual_batch(JOB, 2))
+    _, _, pools = with_coordinator(steps, usual_batch(JOB, 2))
     assert [(p, m.forwarded) for p, m in pools.runs()] == [(HOME, False), (AWAY, False)]
 
 
 def test_a_job_is_refused_once_its_pools_are_evacuated_one_after_the_other():
-    # A job waits in a data centre that is emptied, goes to another one and is sent back
-    # from there, as that is emptied too. It must not go to and fro until its caller
-    # leaves: nothing of it has run, and she is told when to come back.
-    def story(coordinator, pools):
+    # Guards against a job that bounces between two evacuated pools until its caller
+    # gives up. It waits in a data centre that is evacuated, moves to another one and is
+    # returned when that is evacuated too. Nothing of it has run, and its caller is told
+    # when to retry.
+    def steps(coordinator, pools):
         pools.evacuated.add(HOME)
-        coordinator.take_returned(HOME, returned_evacuated(AWAY))
+        coordinator.handle_tasks_returned(HOME, returned_evacuated(AWAY))
         pools.evacuated.add(AWAY)
-        coordinator.take_returned(AWAY, returned_evacuated(HOME))
+        coordinator.handle_tasks_returned(AWAY, returned_evacuated(HOME))
 
-    result, took, pools = with_coordinator(story, usual_batch(JOB, 2))
+    result, took, pools = with_coordinator(steps, usual_batch(JOB, 2))
     assert (result.outcome, result.reason) == (
         BatchOutcome.NOT_RUN,
         GiveUpReason.EVACUATED,
@@ -276,11 +277,13 @@
     assert len(pools.runs()) == 2
 
 
-def test_a_job_goes_where_its_host_knows_an_owner():
-    # The owner that gives it back names a pool that this host has not heard of yet.
-    def story(coordinator, pools):
+def test_a_job_goes_to_a_pool_that_its_host_knows():
+    # The owner that returns the job proposes a pool that this host does not know yet.
+    def steps(coordinator, pools):
         pools.evacuated.add(HOME)
-        coordinator.take_returned(HOME, returned_evacuated(PoolId("unheard of")))
+        coordinator.handle_tasks_returned(
+            HOME, returned_evacuated(PoolId("unheard of"))
+        )
 
-    _, _, pools = with_coordinator(story, usual_batch(JOB, 2))
+    _, _, pools = with_coordinator(steps, usual_batch(JOB, 2))
     assert [pool for pool, _ in pools.runs()] == [HOME, AWAY]
--- a/tests/host/storm.py
+++ b/tests/host/storm.py
@@ -1,4 +1,4 @@
-"""Draw storms of takeovers with late orders, evacuations and callers that resend."""
+"""Generate random storms of takeovers, late calls, evacuations and resent jobs."""
 
 from __future__ import annotations
 
@@ -20,17 +20,18 @@
 SIZE = PoolSystemSize(
     data_centres=2, hosts_each=3, minions_each=3, minion_clock_rate=0.98
 )
-# What callers of the users' programs wait before they send a job again.
+# How long the callers in the users' programs wait before they submit a job again.
 RESEND_PAUSE = timedelta(milliseconds=1_300)
 TIMEOUT = timedelta(seconds=4)
-# Connections that break off while their caller waits.
-BROKEN_SHARE = 0.15
-LEAST_HOSTS = 4
-# Most tasks outlive a takeover, which takes about half a second.
+# The share of connections that break while their caller waits.
+BROKEN_CONNECTION_SHARE = 0.15
+MIN_HOSTS = 4
+# Most of these are longer than a takeover, which takes about half a second.
 DURATIONS_MS = (60, 200, 900, 900, 2_000)
-# Until every late call was carried out and every run has ended.
-LONGEST_DELAY = timedelta(seconds=3)
-AFTERMATH = timedelta(seconds=5)
+# Delays of late calls, and the time after which all of them were carried out and every
+# run has ended.
+MAX_CALL_DELAY = timedelta(seconds=3)
+SETTLE_TIME = timedelta(seconds=5)
 
 
 def ms(count):
@@ -39,27 +40,27 @@
 
 @dataclass
 class Storm:
-    """Strike a system at random while callers submit jobs, all drawn from one seed."""
+    """Inject random faults while callers submit jobs, all drawn from one seed."""
 
     system: object
     random: Random
     late: float
     unanswered: float
-    strikes: tuple[str, ...]
+    faults: tuple[str, ...]
     length: timedelta
     answers: dict[str, list[BatchOutcome | None]] = field(default_factory=dict)
 
     async def run(self):
         for running in self.system.hosts.values():
-            self._disturb(running)
+            self._add_call_chaos(running)
         async with anyio.create_task_group() as group:
             group.start_soon(self._submit_all, group)
-            group.start_soon(self._strike_all, group)
-        await self.system.clock.sleep(AFTERMATH)
+            group.start_soon(self._inject_faults, group)
+        await self.system.clock.sleep(SETTLE_TIME)
 
-    def _disturb(self, running):
+    def _add_call_chaos(self, running):
         running.calls.chaos = CallChaos(
-            self.random, self.late, self.unanswered, LONGEST_DELAY
+            self.random, self.late, self.unanswered, MAX_CALL_DELAY
         )
 
     # Callers
@@ -75,27 +76,29 @@
             for index in range(width):
                 self.system.book.works[TaskName(BatchId(job), 0, index)] = work
             batch = Batch(BatchId(job), "", (Step(width, USUAL_NEEDS, work.duration),))
-            group.start_soon(self._call, batch)
+            group.start_soon(self._submit_with_resend, batch)
             await self.system.clock.sleep(ms(self.random.randint(100, 300)))
 
-    async def _call(self, batch):
-        """Submit a job; send it again through another host if there is no answer."""
-        tries = self.answers[str(batch.id)] = []
+    async def _submit_with_resend(self, batch):
+        """Submit a job, and again through another host if its outcome is not known."""
+        outcomes = self.answers[str(batch.id)] = []
         name = self.random.choice(sorted(self.system.hosts))
-        tries.append(await self._try(name, batch))
-        if tries[0] not in (None, BatchOutcome.UNKNOWN):
+        outcomes.append(await self._submit_once(name, batch))
+        if outcomes[0] not in (None, BatchOutcome.UNKNOWN):
             return
         await self.system.clock.sleep(RESEND_PAUSE)
         centre = name.partition("-")[0]
         others = [n for n in sorted(self.system.hosts) if n != name]
-        near = [n for n in others if n.startswith(centre)]
-        tries.append(await self._try(self.random.choice(near or others), batch))
+        same_centre = [n for n in others if n.startswith(centre)]
+        outcomes.append(
+            await self._submit_once(self.random.choice(same_centre or others), batch)
+        )
 
-    async def _try(self, name, batch):
+    async def _submit_once(self, name, batch):
         running = self.system.hosts[name]
         outcome = None
         wait = TIMEOUT
-        if self.random.random() < BROKEN_SHARE:
+        if self.random.random() < BROKEN_CONNECTION_SHARE:
             wait = ms(self.random.randint(50, 800))
         with anyio.move_on_after(wait.total_seconds()) as scope:
             running.callers.append(scope)
@@ -103,18 +106,18 @@
         running.callers.remove(scope)
         return outcome
 
-    # Strikes
+    # Faults
 
-    async def _strike_all(self, group):
+    async def _inject_faults(self, group):
         end = self.system.clock.monotonic() + self.length
         while self.system.clock.monotonic() < end:
             await self.system.clock.sleep(ms(self.random.randint(50, 900)))
-            # Each strike ends by itself, and the next ones overlap with it.
-            strike = getattr(self, "_" + self.random.choice(self.strikes))
-            group.start_soon(strike)
+            # Each fault ends by itself, and may overlap with the next ones.
+            fault = getattr(self, "_" + self.random.choice(self.faults))
+            group.start_soon(fault)
 
     def _owner(self):
-        """Return the owner of a pool, if one is known."""
+        """Return the owner of a random pool, or None if it has none."""
         centre = self.random.randrange(SIZE.data_centres)
         try:
             return self.system.owner(centre)
@@ -122,9 +125,9 @@
             return None
 
     async def _kill(self):
-        """Kill an owner; it is started again after a while."""
+        """Kill an owner, and restart it after a while."""
         name = self._owner()
-        if name is None or len(self.system.hosts) < LEAST_HOSTS:
+        if name is None or len(self.system.hosts) < MIN_HOSTS:
             return
         self.system.kill(name)
         await self.system.clock.sleep(ms(self.random.randint(300, 3_000)))
@@ -132,10 +135,10 @@
 
     def _restart(self, name):
         if name not in self.system.hosts:
-            self._disturb(self.system.start(name, name.partition("-")[0]))
+            self._add_call_chaos(self.system.start(name, name.partition("-")[0]))
 
     async def _kill_twice(self):
-        """Kill an owner and, while its successor recovers, that one as well."""
+        """Kill an owner, and then its successor while that one recovers."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._kill)
             await self.system.clock.sleep(ms(self.random.randint(60, 700)))
@@ -143,7 +146,7 @@
 
     async def _drain(self):
         name = self._owner()
-        if name is None or len(self.system.hosts) < LEAST_HOSTS:
+        if name is None or len(self.system.hosts) < MIN_HOSTS:
             return
         self.system.hosts[name].host.drain()
         await self.system.clock.sleep(ms(1_500))
@@ -168,7 +171,7 @@
         self.system.resume(centre)
 
     async def _silence(self):
-        """Cut some hosts off from a minion for a while."""
+        """Disconnect some hosts from a minion for a while."""
         minion = self.random.choice(sorted(self.system.places))
         hosts = [
             running
@@ -182,7 +185,7 @@
             running.calls.cut.discard(minion)
 
     async def _cut(self):
-        """Cut a host, or a whole data centre, off from all others and the store."""
+        """Disconnect a host or a whole data centre from all others and the store."""
         if self.random.random() < 0.5:
             names = {self.random.choice(sorted(self.system.hosts))}
         else:
@@ -201,7 +204,7 @@
         self.system.store.cut.difference_update(names)
 
     async def _unlist(self):
-        """Let a minion's entry expire, and bring it back."""
+        """Remove a minion from the list, and add it again."""
         entry = self.random.choice(self.system.listed or [None])
         if entry is None:
             return
@@ -227,5 +230,5 @@
         "unlist",
     ),
 }
-# The shares of calls to minions that are carried out late, and unanswered.
-DISTURBANCES = ((0.3, 0.05), (0.1, 0.1), (0.0, 0.25), (0.4, 0.0))
+# Pairs: the share of calls to minions that are carried out late, and unanswered.
+CALL_FAULTS = ((0.3, 0.05), (0.1, 0.1), (0.0, 0.25), (0.4, 0.0))
--- a/tests/host/test_load_sharing.py
+++ b/tests/host/test_load_sharing.py
@@ -1,4 +1,4 @@
-"""Check how pools share load that one of them has no room for."""
+"""Check how a full pool shares its load with other pools."""
 
 from __future__ import annotations
 
@@ -16,13 +16,13 @@
 
 
 @pytest.mark.parametrize("offset", range(90, 210, 15))
-def test_waiting_tasks_move_as_soon_as_another_pool_has_room(play_pools, offset):
-    # Both pools are full and a job waits at the first. The second becomes free. The
-    # first must hear of it at once and not with the next heartbeat: a balance enquiry
-    # takes 60 ms, and a heartbeat comes every 120 ms.
+def test_waiting_tasks_move_as_soon_as_another_pool_has_free_slots(play_pools, offset):
+    # Guards against tasks that wait up to 150 ms for the next heartbeat while another
+    # pool has free slots: a balance enquiry takes only 60 ms. Both pools are full and a
+    # job waits at the first; the second becomes free and must notify the first.
     size = PoolSystemSize(data_centres=2, minions_each=1)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(600))
         async with anyio.create_task_group() as group:
             for job, host in (("a" * 16, system.other(0)), ("b" * 16, system.other(1))):
@@ -40,6 +40,6 @@
                 await system.clock.sleep(ms(1))
             return system.clock.monotonic() - began
 
-    took, system = play_pools(story, size)
+    took, system = play_pools(scenario, size)
     assert took < ms(30)
     assert system.book.broken == []
--- a/tests/host/test_succession.py
+++ b/tests/host/test_succession.py
@@ -1,4 +1,4 @@
-"""Check which host owns a pool where hosts differ in strength, and who follows it."""
+"""Check which host owns a pool among hosts of different power, and its successors."""
 
 from __future__ import annotations
 
@@ -10,11 +10,11 @@
 
 from brasstray.batch.outcome import BatchOutcome
 from brasstray.host.succession import (
-    RANK_STEP,
+    CLAIM_DELAY_STEP,
     SHORTEST_TENURE,
     Succession,
-    better_moved,
-    successors,
+    rank_successors,
+    should_hand_over,
 )
 from brasstray_standins.pool_system import PoolSystemSize
 
@@ -23,7 +23,7 @@
 
 
 @pytest.mark.parametrize(
-    ("named", "here", "head_start"),
+    ("named", "here", "claim_delay"),
     [
         ((), "a", 0),
         (("a", "b", "c"), "a", 0),
@@ -31,10 +31,10 @@
         (("a", "b", "c"), "d", 3),
     ],
 )
-def test_hosts_claim_in_the_order_that_the_owner_named(named, here, head_start):
+def test_hosts_claim_in_the_order_that_the_owner_named(named, here, claim_delay):
     succession = Succession(here)
-    succession.name(named)
-    assert succession.head_start == head_start * RANK_STEP
+    succession.set_successors(named)
+    assert succession.claim_delay == claim_delay * CLAIM_DELAY_STEP
 
 
 @pytest.mark.parametrize(
@@ -45,8 +45,8 @@
         ({}, ()),
     ],
 )
-def test_the_strongest_come_first(powers, first):
-    assert successors(powers) == first
+def test_successors_are_ranked_by_power(powers, first):
+    assert rank_successors(powers) == first
 
 
 @pytest.mark.parametrize(
@@ -60,40 +60,40 @@
     ],
 )
 def test_a_pool_moves_to_a_much_stronger_host_only(own, others, held, moved):
-    assert better_moved(own, others, held) is moved
+    assert should_hand_over(own, others, held) is moved
 
 
 def is_strong(name):
     return int(name.rpartition("-h")[2]) < FLEET.strong_each
 
 
-def takeovers(system):
+def current_token(system):
     return system.store.entries("brasstray/pools/")[0].version
 
 
-def test_strong_hosts_own_the_pool_and_it_stays_there(play_pools):
-    # All hosts start within a moment, and whoever comes first owns the pool. A weak
-    # host would read ends late all day, so it passes the pool on, once.
-    async def story(system):
+def test_a_strong_host_takes_over_the_pool_and_keeps_it(play_pools):
+    # All hosts start at about the same time, and the first to claim the pool owns it. A
+    # weak owner would read the ends of tasks late, so it hands the pool over, once.
+    async def scenario(system):
         await system.clock.sleep(3 * SHORTEST_TENURE)
-        first, moves = system.owner(), takeovers(system)
+        first, first_token = system.owner(), current_token(system)
         await system.clock.sleep(10 * SHORTEST_TENURE)
-        return first, system.owner(), takeovers(system) - moves
+        return first, system.owner(), current_token(system) - first_token
 
-    (first, later, moves), _ = play_pools(story, FLEET)
+    (first, later, takeovers), _ = play_pools(scenario, FLEET)
     assert is_strong(first)
     assert later == first
-    assert moves == 0
+    assert takeovers == 0
 
 
 @pytest.mark.parametrize("killed", [1, 2])
-def test_strong_hosts_die_and_one_claim_takes_the_pool(play_pools, killed):
-    # The owner dies, alone or with its first successor, while eleven hosts look on. If
-    # all of them claimed, all but one of the writes would be wasted, and the pool might
-    # end up at a weak host.
-    async def story(system):
+def test_one_claim_is_written_when_strong_hosts_die(play_pools, killed):
+    # The owner dies, alone or with its first successor, and eleven hosts notice. If all
+    # of them claimed, all but one of the writes would be wasted, and a weak host might
+    # get the pool.
+    async def scenario(system):
         await system.clock.sleep(3 * SHORTEST_TENURE)
-        before = takeovers(system)
+        before = current_token(system)
         for _ in range(killed):
             strong = sorted(name for name in system.hosts if is_strong(name))
             owner = system.owner()
@@ -102,17 +102,17 @@
                 system.kill(next(name for name in strong if name != owner))
                 break
         await system.clock.sleep(SECOND)
-        return system.owner(), takeovers(system) - before
+        return system.owner(), current_token(system) - before
 
-    (owner, claims), _ = play_pools(story, FLEET)
+    (owner, claims), _ = play_pools(scenario, FLEET)
     assert is_strong(owner)
     assert claims == 1
 
 
 def test_a_pool_moves_under_load_and_no_job_is_lost(play_pools):
-    # All strong hosts are gone and a weak one owns the pool. They come back, and the
-    # pool moves to one of them while callers wait: every job is done.
-    async def story(system):
+    # All strong hosts are down and a weak one owns the pool. They return, and the pool
+    # moves to one of them while callers wait. Every job succeeds.
+    async def scenario(system):
         for number in range(3):
             system.kill(f"dc0-h{number}")
         await system.clock.sleep(SECOND)
@@ -127,7 +127,7 @@
             strong = system.owner()
         return load, weak, strong
 
-    (load, weak, strong), system = play_pools(story, FLEET)
+    (load, weak, strong), system = play_pools(scenario, FLEET)
     assert not is_strong(weak)
     assert is_strong(strong)
     assert load.outcomes() == [BatchOutcome.SUCCEEDED] * 250
@@ -135,17 +135,17 @@
 
 
 def test_the_strongest_host_of_each_data_centre_dies_under_load(play_pools):
-    # The owners of all pools die at once, as by a fault that strong hosts share. Their
-    # successors are known, so that callers of other hosts lose nothing but time.
+    # The owners of all pools die at the same time, as by a fault that strong hosts have
+    # in common. Their successors take over, so jobs of other hosts are only delayed.
     size = PoolSystemSize(data_centres=3, hosts_each=4, minions_each=4, strong_each=2)
 
-    async def story(system):
-        async def strike():
+    async def scenario(system):
+        async def inject_fault():
             for centre in range(3):
                 system.kill(system.owner(centre))
 
-        return await under_load(system, strike, jobs=150)
+        return await under_load(system, inject_fault, jobs=150)
 
-    load, system = play_pools(story, size)
+    load, system = play_pools(scenario, size)
     assert system.book.broken == []
     assert set(load.outcomes()) == {BatchOutcome.SUCCEEDED}
--- a/tests/host/test_owner_reach.py
+++ b/tests/host/test_takeover_timeout.py
@@ -1,4 +1,4 @@
-"""Check when a host takes the listed owner of its pool for gone."""
+"""Check how soon a host takes over the pool of an owner that is lost."""
 
 from __future__ import annotations
 
@@ -6,9 +6,9 @@
 
 import pytest
 
-from brasstray.host.recent_takeovers import RecentTakeovers
+from brasstray.host.takeover_backoff import TakeoverBackoff
 
-MEMORY = timedelta(seconds=10)
+WINDOW = timedelta(seconds=10)
 
 
 def ms(count):
@@ -30,36 +30,36 @@
     ],
 )
 def test_the_timeout_doubles_with_each_takeover(takeovers, now, factor):
-    recent = RecentTakeovers(MEMORY)
+    backoff = TakeoverBackoff(WINDOW)
     for token, at in takeovers:
-        recent.note(token, ms(at))
-    assert recent.timeout_factor(ms(now)) == factor
+        backoff.record_owner(token, ms(at))
+    assert backoff.timeout_factor(ms(now)) == factor
 
 
 @pytest.mark.parametrize(
-    ("fate", "slowest"),
+    ("event", "max_ms"),
     [("killed", 200), ("restarted", 200), ("resigns", 300), ("silent", 700)],
 )
-def test_a_lost_owner_is_replaced_soon(play_pools, fate, slowest):
-    # The host that orders the minions of a data centre dies, is started again, wants
-    # to leave or falls silent. Runs live for 0.8 s after the last look at their minion,
-    # so another host has to own the pool before.
-    async def story(system):
+def test_a_lost_owner_is_replaced_soon(play_pools, event, max_ms):
+    # The owner of a pool is killed, is restarted, resigns or goes silent. The lease of
+    # a run ends 0.8 s after the owner last reached its minion, so another host has to
+    # own the pool before.
+    async def scenario(system):
         name = system.owner()
         began = system.clock.monotonic()
-        if fate == "silent":
+        if event == "silent":
             system.network.cut({name: 1})
             system.store.cut.add(name)
-        elif fate == "resigns":
+        elif event == "resigns":
             system.hosts[name].host.drain()
         else:
             system.kill(name)
-            if fate == "restarted":
+            if event == "restarted":
                 system.start(name, "dc0")
         before = system.store.entries("brasstray/pools/dc0")[0].version
         while system.store.entries("brasstray/pools/dc0")[0].version == before:
             await system.clock.sleep(ms(5))
         return system.clock.monotonic() - began
 
-    took, _ = play_pools(story)
-    assert took <= ms(slowest)
+    took, _ = play_pools(scenario)
+    assert took <= ms(max_ms)
