--- a/src/brasstray/batch/__init__.py
+++ b/src/brasstray/batch/__init__.py
@@ -1,1 +1,1 @@
-"""Describe jobs that need not be stored: their tasks, queues and outcomes."""
+"""Define the data types of jobs that are not stored: tasks, queues and outcomes."""
--- a/src/brasstray/batch/batch.py
+++ b/src/brasstray/batch/batch.py
@@ -1,4 +1,4 @@
-"""Describe a job that is answered when it has ended and is not stored."""
+"""Define a job that is kept in memory only and answered once it has ended."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True)
 class Batch:
-    """Hold a job's id, its payload and its steps."""
+    """Hold a job's id, its payload (`spec`) and its steps."""
 
     id: BatchId
     spec: str
--- a/src/brasstray/batch/configuration.py
+++ b/src/brasstray/batch/configuration.py
@@ -1,4 +1,4 @@
-"""Hold one version of the operators' configuration."""
+"""Define a version of the configuration that operators publish."""
 
 from __future__ import annotations
 
@@ -13,16 +13,16 @@
 
 @dataclass(frozen=True)
 class BodyLimits:
-    """Bound what callers send, in bytes."""
+    """Limit the size of request bodies, in bytes."""
 
     body_bytes: int = 1 << 20
 
 
 @dataclass(frozen=True)
 class Configuration:
-    """Hold the queues of one version, and the text it was read from.
+    """Hold the queues of one version and the text that it was parsed from.
 
-    `services` are those that minions may be of, also without a queue.
+    `services` lists the services that minions may offer, including any without a queue.
     """
 
     version: ConfigVersion
@@ -32,12 +32,12 @@
     services: frozenset[ServiceName] = frozenset()
 
     def knows(self, service: ServiceName) -> bool:
-        """Tell whether `service` is one of this version."""
+        """Tell whether this version lists `service` or has a queue for it."""
         named = service in self.services
         return named or any(queue.service == service for queue in self.queues)
 
     def queue_for(self, host: str, path: str) -> Queue | None:
-        """Return the queue with the longest prefix of `path` at `host`, if any."""
+        """Return the queue of `host` whose prefix is the longest match for `path`."""
         matches = [
             queue
             for queue in self.queues
--- a/src/brasstray/batch/evacuation_set.py
+++ b/src/brasstray/batch/evacuation_set.py
@@ -1,18 +1,18 @@
-"""Hold which data centres operators have evacuated."""
+"""Define the set of data centres that operators have evacuated."""
 
 from __future__ import annotations
 
 import msgspec
 
-# Imported also at run time: messages between hosts carry the names, and check them.
+# Needed at run time: msgspec resolves the annotation to validate peer messages.
 from brasstray.job.ids import DataCentreName
 
 
 class EvacuationSet(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the data centres that get nothing new, and the store's version read.
+    """Hold the data centres that get no new work, and the store version they are from.
 
-    Sets are compared by that version: a later one is the truth, also where it has fewer
-    data centres. `as_of` is 0 for a set that was never read, which is not an empty one.
+    The set with the higher version wins, even if it has fewer data centres. `as_of` is
+    0 for a set that was never read, which is different from an empty set.
     """
 
     as_of: int = 0
@@ -20,7 +20,7 @@
 
     @property
     def known(self) -> bool:
-        """Tell whether the set was read at all."""
+        """Tell whether the set was ever read from the store."""
         return self.as_of > 0
 
 
--- a/src/brasstray/batch/ids.py
+++ b/src/brasstray/batch/ids.py
@@ -1,4 +1,4 @@
-"""Name the identifiers of jobs, pools and runs."""
+"""Define the identifier types of jobs, pools and runs."""
 
 from __future__ import annotations
 
--- a/src/brasstray/batch/outcome.py
+++ b/src/brasstray/batch/outcome.py
@@ -1,4 +1,4 @@
-"""List how a job can end for its caller."""
+"""Define the outcomes of a job and the reasons for giving it up."""
 
 from __future__ import annotations
 
@@ -11,10 +11,10 @@
 
 
 class BatchOutcome(Enum):
-    """Tell how a job ended.
+    """Describe how a job ended.
 
     NOT_RUN means that none of its tasks was sent to a minion. UNKNOWN means that some
-    may have run, or may be running still.
+    tasks may have run, or may still be running.
     """
 
     SUCCEEDED = "succeeded"
@@ -25,7 +25,7 @@
 
 
 class GiveUpReason(Enum):
-    """Tell why a job was refused or given up, for counters and logs."""
+    """Describe why a job was refused or given up, for metrics and logs."""
 
     NO_CONFIGURATION = "no_configuration"
     NO_POOL = "no_pool"
@@ -45,7 +45,7 @@
 
 @dataclass(frozen=True)
 class BatchResult:
-    """Hold an outcome, its reason, and when to come back if it has not run."""
+    """Hold an outcome, its reason, and when the caller may retry if it has not run."""
 
     outcome: BatchOutcome
     reason: GiveUpReason | None = None
--- a/src/brasstray/batch/queue.py
+++ b/src/brasstray/batch/queue.py
@@ -1,4 +1,4 @@
-"""Describe where jobs of one kind come from and how they are to be served."""
+"""Define a queue: which requests it receives and how their jobs are run."""
 
 from __future__ import annotations
 
@@ -14,10 +14,11 @@
 
 @dataclass(frozen=True)
 class Queue:
-    """Hold how jobs are recognized, which service runs them, and their objective.
+    """Hold the route of a queue, the service that runs its jobs, and their objective.
 
-    A job is on time within `stretch` times its longest chain of tasks plus `slack`.
-    Priority 0 comes first. A task is given up after `attempts` runs that failed.
+    A job is on time if it ends within `stretch` times the duration of its critical path
+    (its longest chain of tasks) plus `slack`. Priority 0 is the highest. A task is
+    given up after `attempts` failed runs.
     """
 
     name: QueueName
--- a/src/brasstray/batch/resources.py
+++ b/src/brasstray/batch/resources.py
@@ -1,4 +1,4 @@
-"""Count processors, memory and accelerators."""
+"""Define amounts of processor, memory and GPUs."""
 
 from __future__ import annotations
 
@@ -7,9 +7,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Resources:
-    """Hold what a task asks for, or what a minion has.
+    """Hold the resources that a task requests or that a minion has.
 
-    Processors are counted in thousandths of a core.
+    `cpu_millis` is in thousandths of a core.
     """
 
     cpu_millis: int = 0
@@ -31,7 +31,7 @@
         )
 
     def fits(self, room: Resources) -> bool:
-        """Tell whether this much is to be had in `room`."""
+        """Tell whether `room` is at least this much of every resource."""
         return (
             self.cpu_millis <= room.cpu_millis
             and self.memory_mb <= room.memory_mb
--- a/src/brasstray/batch/step.py
+++ b/src/brasstray/batch/step.py
@@ -1,4 +1,4 @@
-"""Describe tasks of a job that are alike."""
+"""Define a group of identical tasks within a job."""
 
 from __future__ import annotations
 
@@ -13,11 +13,12 @@
 
 @dataclass(frozen=True)
 class Step:
-    """Hold what each of `count` tasks needs.
+    """Hold the number of tasks and what each of them needs.
 
-    `estimate` is the caller's guess of one task's duration, often far off. `after`
-    lists the steps that must be done first. `rack` is where the data lies, `label` what
-    a minion must have, and `max_per_minion` bounds how many tasks share one (0: any).
+    `estimate` is the caller's estimate of one task's duration, often far off. `after`
+    lists the steps that must be done first. `rack` is where the data is stored, `label`
+    is one that the minion must have, and `max_per_minion` limits how many tasks run on
+    one minion (0: no limit).
     """
 
     count: int
--- a/src/brasstray/batch/task_name.py
+++ b/src/brasstray/batch/task_name.py
@@ -1,4 +1,4 @@
-"""Name one task of a job."""
+"""Define the identifier of a task."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class TaskName:
-    """Tell a task from every other; the same in every run of it."""
+    """Identify a task by job, step and index; all runs of the task share it."""
 
     batch: BatchId
     step: int
