--- a/src/brasstray/job/__init__.py
+++ b/src/brasstray/job/__init__.py
@@ -1,1 +1,1 @@
-"""Describe jobs, tasks, keys and answers."""
+"""Define the data types of jobs, tasks, keys and answers."""
--- a/src/brasstray/job/answer.py
+++ b/src/brasstray/job/answer.py
@@ -1,4 +1,4 @@
-"""Describe what a caller is told."""
+"""Define the answers that callers get."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class TaskReport(BaseModel):
-    """Tell how one task ended."""
+    """Describe how one task ended."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -21,7 +21,7 @@
 
 
 class Answer(BaseModel):
-    """Tell a caller the outcome of its job, whole."""
+    """Describe the outcome of a job and of all its tasks."""
 
     model_config = ConfigDict(frozen=True)
 
@@ -36,14 +36,14 @@
 
     @property
     def verdict(self) -> tuple[Outcome, str | None]:
-        """Return what must be the same in every final answer to one job.
+        """Return the fields that must be equal in all final answers to one job.
 
-        An answer whose results are lost still tells the outcome that was committed.
+        An answer whose results are lost still states the committed outcome.
         """
         return self.committed or self.outcome, self.digest
 
     def with_digest(self) -> Answer:
-        """Return this answer with the digest of its tasks."""
+        """Return a copy with the digest of its tasks."""
         body = "".join(task.model_dump_json() for task in self.tasks)
         return self.model_copy(update={"digest": digest_of(body.encode())})
 
@@ -64,7 +64,7 @@
 
 
 def may_have_run(key: KeyText, reason: Reason, task_count: int) -> Answer:
-    """Return the failed answer that promises nothing of any task."""
+    """Return a failed answer in which every task may or may not have run."""
     return Answer(
         key=key,
         outcome=Outcome.FAILED,
--- a/src/brasstray/job/errors.py
+++ b/src/brasstray/job/errors.py
@@ -1,4 +1,4 @@
-"""Name what can go wrong with a job's description or state."""
+"""Define the errors about jobs."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TransitionError(JobError):
-    """A state was to follow one that it cannot follow."""
+    """A state transition that is not allowed was requested."""
 
 
 __all__ = ["JobError", "TransitionError"]
--- a/src/brasstray/job/ids.py
+++ b/src/brasstray/job/ids.py
@@ -1,4 +1,4 @@
-"""Name the identifiers that jobs are spoken of by."""
+"""Define the identifier types of jobs, callers, hosts and minions."""
 
 from __future__ import annotations
 
--- a/src/brasstray/job/incarnation.py
+++ b/src/brasstray/job/incarnation.py
@@ -1,4 +1,4 @@
-"""Tell one run of an entry host from another run of the same host."""
+"""Identify each process that runs an entry host, across restarts of the host."""
 
 from __future__ import annotations
 
--- a/src/brasstray/job/job_id.py
+++ b/src/brasstray/job/job_id.py
@@ -1,4 +1,4 @@
-"""Identify a job by its caller and its key."""
+"""Define the identifier of a job."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class JobId(BaseModel):
-    """Identify a job; two callers may use the same key for different jobs."""
+    """Identify a job by caller and key; callers may use the same key independently."""
 
     model_config = ConfigDict(frozen=True)
 
--- a/src/brasstray/job/job_state.py
+++ b/src/brasstray/job/job_state.py
@@ -1,4 +1,4 @@
-"""List the states of a job on its executor."""
+"""Define the states of a job on its executor."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class JobState(Enum):
-    """Tell how far a job has come."""
+    """Describe the progress of a job."""
 
     ACCEPTED = "accepted"
     RUNNING = "running"
@@ -16,7 +16,7 @@
     ANSWERED = "answered"
 
     def to(self, after: JobState) -> JobState:
-        """Return `after`, or raise TransitionError if it cannot follow."""
+        """Return `after`, or raise TransitionError if this state cannot precede it."""
         if after not in _FOLLOWERS[self]:
             raise TransitionError(f"a job cannot go from {self.name} to {after.name}")
         return after
--- a/src/brasstray/job/key.py
+++ b/src/brasstray/job/key.py
@@ -1,4 +1,4 @@
-"""Read and write idempotency keys."""
+"""Parse, format and create idempotency keys."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class OwnKey:
-    """A key that the caller made; its home's journal binds it to one executor."""
+    """Hold a key made by a caller; its home's journal binds it to one executor."""
 
     expires: datetime
     home: DataCentreName
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True)
 class MintedKey:
-    """A key that an entry host made; it names the only executor it can have."""
+    """Hold a key made by an entry host; it names the only executor it can have."""
 
     expires: datetime
     executor: IncarnationId
@@ -58,7 +58,7 @@
 
 
 def parse_key(text: str) -> Result[Key, str]:
-    """Return the key in `text`, or what is wrong with it."""
+    """Parse `text` as a key; the error says what is wrong with it."""
     match = _KEY.fullmatch(text)
     if match is None:
         return Err(KEY_HELP)
@@ -75,7 +75,7 @@
 
 
 def home_of(key: Key) -> DataCentreName:
-    """Return the data centre whose hosts answer for `key`."""
+    """Return the data centre whose hosts are responsible for `key`."""
     match key:
         case MintedKey():
             return data_centre_of(key.executor)
--- a/src/brasstray/job/outcome.py
+++ b/src/brasstray/job/outcome.py
@@ -1,4 +1,4 @@
-"""List what a caller can be told of a job."""
+"""Define the outcomes of a job as callers see them."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Outcome(Enum):
-    """Tell a caller where its job stands."""
+    """Describe the outcome of a job, or that it is not known yet."""
 
     COMPLETE = "complete"
     FAILED = "failed"
@@ -15,7 +15,7 @@
 
     @property
     def final(self) -> bool:
-        """Tell whether a later answer to the same job must say the same."""
+        """Tell whether every later answer to the job must have this outcome."""
         return self in (Outcome.COMPLETE, Outcome.FAILED)
 
 
--- a/src/brasstray/job/reason.py
+++ b/src/brasstray/job/reason.py
@@ -1,4 +1,4 @@
-"""List why a job was refused, failed or is not yet known."""
+"""Define the reasons for which a job was refused, failed or is not yet known."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 
 class Reason(Enum):
-    """Say why a job did not end complete, in words a program can match."""
+    """Describe why a job is not complete, as codes that programs can match."""
 
     ANSWER_LOST = "answer_lost"
     BAD_REQUEST = "bad_request"
--- a/src/brasstray/job/request.py
+++ b/src/brasstray/job/request.py
@@ -1,4 +1,4 @@
-"""Describe what a caller asks for."""
+"""Define the requests that callers send."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 class JobRequest(BaseModel):
-    """Describe a job: tasks that get one whole answer."""
+    """Describe a job: tasks that are answered together."""
 
     model_config = ConfigDict(frozen=True, extra="forbid", strict=True)
 
@@ -43,22 +43,22 @@
 
     @property
     def deadline(self) -> timedelta:
-        """Return how long after its first acceptance the job must be answered."""
+        """Return the time limit for the answer, from the job's first acceptance."""
         return timedelta(milliseconds=self.deadline_ms)
 
     @cached_property
     def digest(self) -> str:
-        """Return a digest by which two requests under one key are compared."""
+        """Return a digest for comparing two requests that use the same key."""
         return digest_of(self.model_dump_json().encode())
 
 
 def digest_of(data: bytes) -> str:
-    """Return the hexadecimal digest of `data`."""
+    """Return the BLAKE2b digest of `data` in hexadecimal."""
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
 def problems_of(errors: list[Any]) -> str:
-    """Return pydantic's list of errors as one line for the caller."""
+    """Format pydantic's list of validation errors as one line."""
     return "; ".join(
         f"{'.'.join(str(part) for part in error['loc']) or 'body'}: {error['msg']}"
         for error in errors
--- a/src/brasstray/job/task_state.py
+++ b/src/brasstray/job/task_state.py
@@ -1,4 +1,4 @@
-"""List the states of a task."""
+"""Define the states of a task."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TaskState(Enum):
-    """Tell how far a task has come."""
+    """Describe the progress of a task."""
 
     PENDING = "pending"
     SENT = "sent"
@@ -17,13 +17,13 @@
     MAY_HAVE_RUN = "may have run"
 
     def to(self, after: TaskState) -> TaskState:
-        """Return `after`, or raise TransitionError if it cannot follow."""
+        """Return `after`, or raise TransitionError if this state cannot precede it."""
         if after not in _FOLLOWERS[self]:
             raise TransitionError(f"a task cannot go from {self.name} to {after.name}")
         return after
 
 
-# SENT to PENDING is for a task known not to have run, or one that may be repeated.
+# SENT goes back to PENDING if the task is known not to have run, or is repeatable.
 _FOLLOWERS = {
     TaskState.PENDING: (TaskState.SENT, TaskState.NOT_RUN),
     TaskState.SENT: (TaskState.DONE, TaskState.PENDING, TaskState.MAY_HAVE_RUN),
