--- a/src/brasstray/client/__init__.py
+++ b/src/brasstray/client/__init__.py
@@ -1,1 +1,1 @@
-"""Call the entry hosts as a caller does."""
+"""Call entry hosts over the callers' HTTP interface."""
--- a/src/brasstray/client/client.py
+++ b/src/brasstray/client/client.py
@@ -1,4 +1,4 @@
-"""Submit jobs and ask for answers over HTTP."""
+"""Submit jobs and fetch their answers over HTTP."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 class Client:
-    """Speak to one entry host, or to the balancer before all of them."""
+    """Call one entry host, or the load balancer in front of all of them."""
 
     def __init__(self, url: str, caller: CallerName, clock: Clock) -> None:
         self._url = url.rstrip("/")
@@ -33,21 +33,21 @@
         self._clock = clock
 
     async def submit(self, body: bytes, key: str | None, wait: timedelta) -> Answer:
-        """Return the answer to the job in `body` so far as known within `wait`.
+        """Submit the job in `body`; return what is known of its answer within `wait`.
 
-        Raise UnreachableError if none came: the job may run all the same.
+        Raise UnreachableError if there was no answer; the job may still run.
         """
         headers = {} if key is None else {KEY_HEADER: key}
         target = f"/v1/jobs?wait_ms={_milliseconds(wait)}"
         return await self._answer("POST", target, wait, body, headers)
 
     async def fetch(self, key: str, wait: timedelta) -> Answer:
-        """Return what is known of a job submitted before."""
+        """Return what is known within `wait` of a job submitted before."""
         target = f"/v1/jobs/{key}?wait_ms={_milliseconds(wait)}"
         return await self._answer("GET", target, wait)
 
     async def cancel(self, key: str, wait: timedelta) -> Answer:
-        """Stop a job's starts and return its answer."""
+        """Stop starting tasks of a job and return its answer."""
         return await self._answer("DELETE", f"/v1/jobs/{key}", wait)
 
     async def submit_until_final(
@@ -55,8 +55,8 @@
     ) -> Answer:
         """Repeat a submission with the same key until its answer is final.
 
-        Return the last answer after `patience`; raise UnreachableError if there was
-        none. Repeating is safe: the key keeps the job from running twice.
+        After `patience`, return the last answer, or raise UnreachableError if there was
+        none. Repeating is safe: the key prevents the job from running twice.
         """
         deadline = self._clock.monotonic() + patience
         last: Answer | UnreachableError
@@ -79,32 +79,37 @@
 
     @property
     def caller(self) -> CallerName:
-        """Return who calls."""
+        """Return the caller's name."""
         return self._caller
 
     async def call_json(
         self, method: str, target: str, body: bytes = b""
     ) -> tuple[int, Any]:
-        """Return the status and the body's JSON; raise UnreachableError."""
+        """Return the status and the decoded JSON body.
+
+        Raise UnreachableError if there was no response or its body is not JSON.
+        """
         response = await self._call(method, target, None, body, {})
         try:
             return response.status, json.loads(response.content)
         except ValueError as error:
-            raise UnreachableError(f"{response.status}: no JSON") from error
+            raise UnreachableError(
+                f"{response.status}: response body is not JSON"
+            ) from error
 
     async def mint(self) -> str:
-        """Return a key made by an entry host."""
+        """Return a new key made by the entry host."""
         response = await self._call("POST", "/v1/keys", None, b"", {})
         key: str = json.loads(response.content)["key"]
         return key
 
     async def status(self) -> dict[str, Any]:
-        """Return the entry host's view of itself."""
+        """Return the status that the entry host reports."""
         response = await self._call("GET", "/v1/status", None, b"", {})
         try:
             page: dict[str, Any] = json.loads(response.content)
         except ValueError as error:
-            raise ClientError("the status page is unreadable") from error
+            raise ClientError("status page is not JSON") from error
         return page
 
     async def _answer(
--- a/src/brasstray/client/errors.py
+++ b/src/brasstray/client/errors.py
@@ -1,4 +1,4 @@
-"""Name what can go wrong between a caller and the entry hosts."""
+"""Define the errors of calls to entry hosts."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class UnreachableError(ClientError):
-    """No answer came; the job may have been accepted, so ask again with its key."""
+    """No usable answer came; the job may be accepted, so retry with the same key."""
 
 
 __all__ = ["ClientError", "UnreachableError"]
--- a/src/brasstray/client/table_client.py
+++ b/src/brasstray/client/table_client.py
@@ -22,7 +22,7 @@
 
 
 class TableClient:
-    """Make changes that are applied once, whatever replies are lost."""
+    """Read the table, and change it exactly once even if replies are lost."""
 
     def __init__(self, client: Client, clock: Clock, random: Random) -> None:
         self._client = client
@@ -30,7 +30,7 @@
         self._random = random
 
     async def read(self) -> Table:
-        """Return the table in force on the host that is reached."""
+        """Return the table in force on the host that answers."""
         status, page = await self._client.call_json("GET", "/v1/table")
         _check(status, page)
         return Table.model_validate(page)
@@ -42,7 +42,7 @@
         return [Table.model_validate(item) for item in page]
 
     async def versions(self) -> dict[str, int | None]:
-        """Return the version in force on each host, None for silent ones."""
+        """Return the version in force on each host, None for hosts without a reply."""
         status, page = await self._client.call_json("GET", "/v1/table/hosts")
         _check(status, page)
         versions: dict[str, int | None] = page
@@ -53,9 +53,10 @@
     ) -> Table:
         """Apply `edit` to the rows of `based_on` and return the new table.
 
-        Raise TableConflictError if the table was changed since. A reply that is lost
-        is asked for again under the same token, so the change is applied once, and is
-        reported as it is.
+        Raise TableConflictError if the table was changed since `based_on`. After a lost
+        reply the request is retried with the same token, by which the host recognizes
+        a change that it has already applied. Raise UnreachableError if every
+        try fails; the change may have been applied.
         """
         wanted = Table(
             version=based_on.version + 1,
@@ -77,7 +78,7 @@
             _check(status, page)
             return Table.model_validate(page)
         raise UnreachableError(
-            f"no reply; see whether the history has version {wanted.version} of yours"
+            f"no reply; check the table history for your version {wanted.version}"
         )
 
 
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -1,4 +1,4 @@
-"""Check what a caller's client makes of replies, over real HTTP on loopback."""
+"""Check how the client handles replies, over HTTP on loopback."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 
 
 def submit_to(replies, patience=PATIENCE):
-    """Return what the client makes of `replies`, and how often it asked."""
+    """Return the client's answer when it gets `replies`, and its number of requests."""
     asked = []
 
     async def app(scope, receive, send):
