--- a/src/brasstray/command/__init__.py
+++ b/src/brasstray/command/__init__.py
@@ -1,1 +1,1 @@
-"""Offer the operators' command line."""
+"""Provide the command line for callers and operators."""
--- a/src/brasstray/command/exit_status.py
+++ b/src/brasstray/command/exit_status.py
@@ -1,4 +1,4 @@
-"""List the exit statuses of the command line."""
+"""Define the exit statuses of the command line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ExitStatus(IntEnum):
-    """Tell a script how a command ended."""
+    """Describe how a command ended, for scripts."""
 
     COMPLETE = 0
     FAILED = 1
@@ -19,7 +19,7 @@
 
 
 def status_of(outcome: Outcome) -> ExitStatus:
-    """Return the exit status that tells `outcome`."""
+    """Return the exit status for `outcome`."""
     match outcome:
         case Outcome.COMPLETE:
             return ExitStatus.COMPLETE
--- a/src/brasstray/command/host.py
+++ b/src/brasstray/command/host.py
@@ -1,4 +1,4 @@
-"""Show what a host of the platform does and believes."""
+"""Show the status of a platform host."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from brasstray.host.host_status import EvacuationStatus, OwnedPoolStatus
 
-# A host answers within milliseconds, or is in trouble.
+# A healthy host answers within milliseconds.
 PATIENCE_SECONDS = 5.0
 
 _REACH = {True: "in reach", False: "out of reach", None: "not asked"}
@@ -28,7 +28,7 @@
     ],
     as_json: Json = False,
 ) -> None:
-    """Print a host's role, token, minions, peers and versions."""
+    """Print a host's role, fencing token, minions, peers and versions."""
     found = _fetch(url.rstrip("/") + STATUS_PATH)
     typer.echo(msgspec.json.encode(found).decode() if as_json else _as_text(found))
 
@@ -43,9 +43,9 @@
         httpcore.ProtocolError,
         httpcore.TimeoutException,
     ) as error:
-        typer.echo(f"{url}: not reached: {error!r}", err=True)
+        typer.echo(f"{url}: unreachable: {error!r}", err=True)
     except msgspec.MsgspecError:
-        typer.echo(f"{url}: no host's status", err=True)
+        typer.echo(f"{url}: the response is not a host status", err=True)
     raise typer.Exit(ExitStatus.UNREACHABLE)
 
 
@@ -55,14 +55,14 @@
         f"{found.incarnation}: {found.state}, {role}",
         f"  configuration: version {found.config_version}",
         f"  evacuated: {_evacuation_text(found.evacuations)}",
-        f"  jobs at work: {found.jobs}",
+        f"  jobs running: {found.jobs}",
     ]
     if found.owned is not None:
         lines += _pool_lines(found.owned)
     for owner in found.owners:
         reach = _REACH[owner.in_reach]
         lines.append(f"  {owner.pool}: {owner.host}, token {owner.token}, {reach}")
-    lines.append(f"  asked by: {', '.join(found.requesters) or 'nobody'}")
+    lines.append(f"  requested by: {', '.join(found.requesters) or 'nobody'}")
     return "\n".join(lines)
 
 
--- a/src/brasstray/command/main.py
+++ b/src/brasstray/command/main.py
@@ -1,4 +1,4 @@
-"""Offer the command line for callers and operators."""
+"""Define the command line for callers and operators."""
 
 from __future__ import annotations
 
@@ -37,12 +37,12 @@
     "3 refused and not run, 4 not yet known, 5 no entry host reached."
 )
 app = typer.Typer(
-    help="Submit closing jobs and look at the entry hosts.",
+    help="Submit jobs and inspect entry hosts.",
     epilog=_EPILOG,
     no_args_is_help=True,
     add_completion=False,
 )
-settings_app = typer.Typer(help="Work on settings files.", no_args_is_help=True)
+settings_app = typer.Typer(help="Check settings files.", no_args_is_help=True)
 app.add_typer(settings_app, name="settings")
 app.add_typer(table_app, name="table")
 app.command()(trace)
@@ -58,12 +58,12 @@
     url: Url = DEFAULT_URL,
     caller: Caller = DEFAULT_CALLER,
     key: Annotated[
-        str | None, typer.Option(help="The job's key; without one, a new key is made.")
+        str | None, typer.Option(help="The job's key; by default a new key is made.")
     ] = None,
     wait: Wait = 60,
     as_json: Json = False,
 ) -> None:
-    """Submit a job and print its answer; the key is printed first, to ask again."""
+    """Submit a job and print its answer; the key is printed first, for retries."""
     try:
         body = job_file.read_bytes()
     except OSError as error:
@@ -98,7 +98,7 @@
     caller: Caller = DEFAULT_CALLER,
     as_json: Json = False,
 ) -> None:
-    """Stop a job's starts at once and print what became of its tasks."""
+    """Stop starting tasks of a job and print the state of each task."""
     patience = timedelta(seconds=10)
     _tell(run_client(url, caller, lambda client: client.cancel(key, patience)), as_json)
 
@@ -107,7 +107,7 @@
 def status(
     url: Url = DEFAULT_URL, caller: Caller = DEFAULT_CALLER, as_json: Json = False
 ) -> None:
-    """Print what an entry host sees of itself, its peers and minions."""
+    """Print an entry host's status, its peers and its minions."""
     page = run_client(url, caller, lambda client: client.status())
     if as_json:
         typer.echo(json.dumps(page))
@@ -118,7 +118,7 @@
     typer.echo(f"  jobs remembered: {page['jobs_remembered']}")
     typer.echo(f"  journal: term {journal['term']}, led by {journal['leader']}")
     if journal.get("offline"):
-        typer.echo("  the platform is not reached: replicas keep the journal")
+        typer.echo("  the platform is unreachable: replicas hold the journal")
     for peer in page["peers"]:
         state = "draining" if peer["draining"] else "live"
         typer.echo(f"  peer {peer['incarnation']}: {state}")
@@ -135,12 +135,12 @@
     file: Annotated[Path, typer.Argument(help="The INI file to check.")],
     as_json: Json = False,
 ) -> None:
-    """Name every wrong line of a settings file, of whichever daemon."""
+    """Report every invalid line of a settings file of either daemon."""
     checked = settings_problems(file)
     if as_json:
         typer.echo(json.dumps(checked.as_json()))
     elif not checked.problems:
-        typer.echo(f"{file}: good, for {checked.daemon.value}")
+        typer.echo(f"{file}: valid for {checked.daemon.value}")
     else:
         for problem in checked.problems:
             typer.echo(f"{file}: {problem}", err=True)
@@ -150,17 +150,17 @@
 
 @app.command()
 def demo(
-    seed: Annotated[int, typer.Option(help="Seeds what is drawn at random.")] = 1,
-    examples: Annotated[
-        Path, typer.Option(help="The folder with the job files.")
-    ] = Path("examples"),
+    seed: Annotated[int, typer.Option(help="Seed for random numbers.")] = 1,
+    examples: Annotated[Path, typer.Option(help="Folder of the job files.")] = Path(
+        "examples"
+    ),
     as_json: Json = False,
 ) -> None:
-    """Run a whole system on loopback, break parts of it, and check the rules."""
-    # Imported here, so that the stand-ins are loaded for nothing else.
+    """Run a complete system on loopback, inject faults, and check its invariants."""
+    # Imported here so that no other command loads the stand-ins.
     from brasstray_standins.demo import render, run_demo
 
-    # Servers that are killed on purpose would fill the terminal with tracebacks.
+    # Servers that the demo kills would fill the terminal with tracebacks.
     logging.getLogger("uvicorn").addHandler(logging.NullHandler())
     logging.getLogger("websockets").addHandler(logging.NullHandler())
     try:
@@ -183,7 +183,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Run the command line."""
     app()
 
 
--- a/src/brasstray/command/options.py
+++ b/src/brasstray/command/options.py
@@ -1,4 +1,4 @@
-"""Hold the options that commands share, and run their calls."""
+"""Define the options that commands share, and run client calls."""
 
 from __future__ import annotations
 
@@ -20,16 +20,22 @@
 DEFAULT_URL = "http://127.0.0.1:8080"
 DEFAULT_CALLER = "operator"
 Url = Annotated[
-    str, typer.Option(envvar="BRASSTRAY_URL", help="An entry host or the balancer.")
+    str,
+    typer.Option(
+        envvar="BRASSTRAY_URL", help="URL of an entry host or of the load balancer."
+    ),
 ]
 Caller = Annotated[
-    str, typer.Option(envvar="BRASSTRAY_CALLER", help="Who calls, as the balancer says")
+    str,
+    typer.Option(
+        envvar="BRASSTRAY_CALLER", help="Caller name, as the balancer sends it."
+    ),
 ]
-Json = Annotated[bool, typer.Option("--json", help="Print JSON for programs.")]
+Json = Annotated[bool, typer.Option("--json", help="Print JSON.")]
 
 
 def run_client(url: str, caller: str, call: Callable[[Client], Awaitable[_T]]) -> _T:
-    """Return what `call` returns; exit with UNREACHABLE if no entry host answers."""
+    """Run `call` on a new client; exit with UNREACHABLE if no entry host answers."""
 
     async def run() -> _T:
         return await call(Client(url, CallerName(caller), LoopClock()))
--- a/src/brasstray/command/render.py
+++ b/src/brasstray/command/render.py
@@ -1,4 +1,4 @@
-"""Write answers for people."""
+"""Format answers for the terminal."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 
 def answer_lines(answer: Answer) -> list[str]:
-    """Return the lines that tell a person what `answer` says."""
+    """Format `answer` as lines of text."""
     reason = f" ({answer.reason.value})" if answer.reason else ""
     lines = [f"{answer.key or 'no key'}: {answer.outcome.value}{reason}"]
     if answer.detail:
@@ -24,7 +24,7 @@
     if answer.digest is not None:
         lines.append(f"  digest: {answer.digest}")
     if answer.retry_after_ms is not None:
-        lines.append(f"  ask again in {answer.retry_after_ms} ms, with the same key")
+        lines.append(f"  retry in {answer.retry_after_ms} ms with the same key")
     return lines
 
 
--- a/src/brasstray/command/table.py
+++ b/src/brasstray/command/table.py
@@ -1,4 +1,4 @@
-"""Offer the commands about the operators' table."""
+"""Define the commands that show and change the operators' table."""
 
 from __future__ import annotations
 
@@ -36,7 +36,7 @@
 WAIT_SECONDS = 14.0
 POLL_SECONDS = 0.5
 table_app = typer.Typer(
-    help="See and change the table of weights and limits.", no_args_is_help=True
+    help="Show and change the table of weights and limits.", no_args_is_help=True
 )
 
 
@@ -74,7 +74,9 @@
 @table_app.command("set")
 def set_row(
     service: Annotated[str, typer.Argument(help="The row's service.")],
-    changes: Annotated[list[str], typer.Argument(help="Cells, as weight=2.")],
+    changes: Annotated[
+        list[str], typer.Argument(help="Cells to set, such as weight=2.")
+    ],
     period: Annotated[str, typer.Option(help="The row's period.")] = ANY_PERIOD,
     wait: Annotated[bool, typer.Option("--wait", help="Wait for all hosts.")] = False,
     url: Url = DEFAULT_URL,
@@ -94,7 +96,7 @@
 
 @table_app.command("import")
 def import_file(
-    file: Annotated[Path, typer.Argument(help="A CSV file with a head line.")],
+    file: Annotated[Path, typer.Argument(help="A CSV file with a header line.")],
     wait: Annotated[bool, typer.Option("--wait", help="Wait for all hosts.")] = False,
     url: Url = DEFAULT_URL,
     caller: Caller = DEFAULT_CALLER,
@@ -123,7 +125,7 @@
 
 @table_app.command()
 def history(url: Url = DEFAULT_URL, caller: Caller = DEFAULT_CALLER) -> None:
-    """Print every version, who made it, when, and what it changed."""
+    """Print every version with its author, time and changed rows."""
     tables = run_client(url, caller, lambda client: _with_table(client).history())
     before: set[TableRow] = set()
     for table in tables:
@@ -157,7 +159,7 @@
     try:
         table = run_client(url, caller, run)
     except TableConflictError as error:
-        typer.echo(f"nothing was changed: {error}; it stands now as:", err=True)
+        typer.echo(f"nothing was changed: {error}; the current table is:", err=True)
         typer.echo("\n".join(_lines(error.current)), err=True)
         raise typer.Exit(ExitStatus.REFUSED) from error
     typer.echo(f"version {table.version} is accepted")
--- a/src/brasstray/command/trace.py
+++ b/src/brasstray/command/trace.py
@@ -1,4 +1,4 @@
-"""Explain how a request ended, from the logs of all hosts."""
+"""Explain from the logs of all hosts how a request ended."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 def trace(
     job: Annotated[str, typer.Argument(help="The request's id.")],
-    files: Annotated[list[Path], typer.Argument(help="Logs of all hosts.")],
+    files: Annotated[list[Path], typer.Argument(help="Log files of all hosts.")],
     as_json: Json = False,
 ) -> None:
     """Print what all hosts logged of a request, and the line that decided it."""
@@ -45,7 +45,7 @@
         rows.append(f"* {_line(found.cause.line)}")
     rows.append(f"cause: {found.cause.meaning}")
     if found.dropped:
-        rows.append(f"{found.dropped} lines were dropped; some may be missing here")
+        rows.append(f"{found.dropped} log lines were dropped; some may be missing here")
     return "\n".join(rows)
 
 
