--- a/src/brasstray/http/caller_app.py
+++ b/src/brasstray/http/caller_app.py
@@ -1,4 +1,4 @@
-"""Translate between callers' HTTP and the job service."""
+"""Serve the HTTP interface for callers and operators of an entry host."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 
 class CallerApp:
-    """Serve jobs, keys, status and health."""
+    """Serve jobs, keys, the table, status and health."""
 
     def __init__(self, host: EntryHost) -> None:
         self._host = host
--- a/src/brasstray/http/client_connection.py
+++ b/src/brasstray/http/client_connection.py
@@ -1,4 +1,4 @@
-"""Carry one call at a time over a connection that is kept."""
+"""Make HTTP calls, one at a time, over a keep-alive connection."""
 
 from __future__ import annotations
 
@@ -14,17 +14,17 @@
     from datetime import timedelta
 
 
-# A response that comes in drips is given up after so many times the timeout. One of
-# 1.4 MB, the largest value as the store sends it, takes seven at 2 Mbit/s.
+# A slow response is abandoned after this many times the timeout. A response of 1.4 MB,
+# the largest value as the store sends it, takes seven times the timeout at 2 Mbit/s.
 LONGEST_RESPONSE = 10
 
 
 class ClientConnection(asyncio.Protocol):
-    """Write a request at once, and collect the response as its bytes come.
+    """Write each request in one piece and parse the response as its bytes arrive.
 
-    A call is one write, one read and one timer: 0.13 ms of processor time, measured
-    over loopback beside other load. httpcore, whose layers wait and lock several times
-    in each call, took 0.96 ms for the same one.
+    A call takes one write, one read and one timer: 0.13 ms of CPU time, measured over
+    loopback under other load. The same call took 0.96 ms with httpcore, whose layers
+    wait and take locks several times per call.
     """
 
     def __init__(self) -> None:
@@ -36,18 +36,21 @@
 
     @property
     def usable(self) -> bool:
-        """Tell whether another call may go out here."""
+        """Tell whether the connection is open and idle."""
         return self._transport is not None and self._waiter is None
 
     async def call(self, request: bytes, timeout: timedelta) -> HttpReply:
         """Return the response to `request`.
 
-        Raise TimeoutError once nothing has come for `timeout`, or ConnectionLostError.
-        The connection is closed unless the response was whole and lets it live.
+        Raise TimeoutError if no bytes arrive for `timeout` or the response takes more
+        than LONGEST_RESPONSE times as long. Raise ConnectionLostError if the connection
+        ends first. The connection is closed unless the response is complete and allows
+        keep-alive.
 
-        Guards against a large value that never arrives over a slow link. With a limit
-        for the whole response, 218 KB at 2 Mbit/s were broken off after 0.8 of 0.9 s
-        and asked for again, for ever, and the reads filled the links of all hosts.
+        The timeout restarts with each part so that large values can arrive over slow
+        links. With a limit for the whole response, 218 KB at 2 Mbit/s, which take
+        0.9 s, were cut off after 0.8 s and requested again without end, and the reads
+        saturated the links of all hosts.
         """
         if self._transport is None:
             raise ConnectionLostError("closed while idle")
@@ -68,13 +71,13 @@
                 self.close()
 
     def close(self) -> None:
-        """End the connection at once: a farewell to a silent peer only takes time."""
+        """Abort the connection; an orderly close would wait for a silent peer."""
         if self._transport is not None:
             self._transport.abort()
             self._transport = None
 
     def _expire_when_silent(self, timeout: float) -> None:
-        """Give the call up once nothing was heard for `timeout`, in seconds."""
+        """Fail the call once no bytes have arrived for `timeout` seconds."""
         loop = asyncio.get_running_loop()
         began = self._heard_at = loop.time()
         waiter = self._waiter
@@ -95,17 +98,17 @@
         self._parts: list[bytes] = []
         self._kept = False
 
-    # What asyncio calls
+    # Callbacks of asyncio.Protocol
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Take the transport."""
+        """Store the transport."""
         assert isinstance(transport, asyncio.Transport)
         self._transport = transport
 
     def data_received(self, data: bytes) -> None:
-        """Take bytes of a response."""
+        """Pass bytes of a response to the parser."""
         if self._waiter is None:
-            # Nobody has asked: what comes here answers no later request.
+            # No call is waiting: these bytes must not be taken for a later response.
             self.close()
             return
         self._heard_at = asyncio.get_running_loop().time()
@@ -115,7 +118,7 @@
             self._fail(ConnectionLostError(f"unreadable response: {error}"))
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Take note that the connection has ended."""
+        """Fail the call in progress, if any."""
         self._transport = None
         self._fail(ConnectionLostError(repr(exc) if exc else "closed by the peer"))
 
@@ -123,18 +126,18 @@
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_exception(error)
 
-    # What the parser calls
+    # Callbacks of the httptools parser
 
     def on_header(self, name: bytes, value: bytes) -> None:
-        """Take a header."""
+        """Store a header."""
         self._headers.append((name, value))
 
     def on_body(self, body: bytes) -> None:
-        """Take a part of the body."""
+        """Store a part of the body."""
         self._parts.append(body)
 
     def on_message_complete(self) -> None:
-        """Hand the whole response to the caller."""
+        """Return the complete response to the waiting call."""
         status = self._parser.get_status_code()
         if status < 200:
             self._headers.clear()
--- a/src/brasstray/http/connections.py
+++ b/src/brasstray/http/connections.py
@@ -1,4 +1,4 @@
-"""Keep idle HTTP connections to one address, each used by one call at a time."""
+"""Keep idle HTTP connections to one address for reuse, one call at a time each."""
 
 from __future__ import annotations
 
@@ -17,16 +17,16 @@
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 IDLE_CONNECTIONS = 16
-# The kernel gives up on unacknowledged bytes after this long; without it a connection
-# into a partition hangs for minutes.
+# The kernel drops a connection whose bytes stay unacknowledged for this long; without
+# it a connection across a network partition hangs for minutes.
 USER_TIMEOUT_MS = 2_000
 
 
 class Connections:
     """Call one address over HTTP/1.1.
 
-    A connection of one's own for each call that is under way shows whether any byte of
-    a request was written, which a pool of connections hides.
+    Each call in progress has a connection to itself, which shows whether any byte of
+    its request was written. The usual connection pools hide that.
     """
 
     def __init__(self, host: str, port: int, most_idle: int = IDLE_CONNECTIONS) -> None:
@@ -43,7 +43,10 @@
         timeout: timedelta,
         headers: Sequence[tuple[bytes, bytes]] = (),
     ) -> HttpReply:
-        """Return the response; raise TimeoutError or an HttpCallError without one."""
+        """Send a request and return the response.
+
+        Raise TimeoutError or an HttpCallError if there is no complete response.
+        """
         lines = [f"{method} {target} HTTP/1.1\r\nhost: {self._host}".encode()]
         lines += [name + b": " + value for name, value in headers]
         if content:
@@ -70,8 +73,8 @@
     def _take_idle(self) -> ClientConnection | None:
         while self._idle:
             connection = self._idle.pop()
-            # Guards against a connection that the other side has closed while idle: a
-            # request written to it would be lost and count as may have run.
+            # Skip connections that the peer closed while idle: a request written to one
+            # would be lost, and its task would count as possibly run.
             if connection.usable:
                 return connection
         return None
--- a/src/brasstray/http/errors.py
+++ b/src/brasstray/http/errors.py
@@ -1,18 +1,18 @@
-"""Name what can go wrong in a call over HTTP."""
+"""Define the errors of HTTP calls."""
 
 from __future__ import annotations
 
 
 class HttpCallError(Exception):
-    """Base of the errors of calls over HTTP; no whole response came."""
+    """Base of the errors of calls that got no complete response."""
 
 
 class NotConnectedError(HttpCallError):
-    """No connection was to be had, so that no byte of the request was sent."""
+    """No connection could be opened, so no byte of the request was sent."""
 
 
 class ConnectionLostError(HttpCallError):
-    """The connection ended, or broke the protocol, before the response was whole."""
+    """The connection ended or violated HTTP before the response was complete."""
 
 
 __all__ = ["ConnectionLostError", "HttpCallError", "NotConnectedError"]
--- a/src/brasstray/http/exchange.py
+++ b/src/brasstray/http/exchange.py
@@ -1,4 +1,4 @@
-"""Read and write the bodies of HTTP exchanges over ASGI."""
+"""Read requests and send responses over ASGI."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """Hold a status, a body and headers."""
+    """Hold the status, body and headers of a response."""
 
     status: int
     body: bytes = b""
@@ -47,8 +47,8 @@
 async def read_body(receive: Receive, limit: int) -> bytes | None:
     """Return the body, or None if it has more than `limit` bytes.
 
-    A body over the limit is read on and thrown away, so that the caller has sent it
-    and reads the refusal instead of a reset.
+    The rest of a body over the limit is read and discarded, up to DRAINED_BYTES, so
+    that the caller can finish sending and read the refusal instead of a reset.
     """
     parts, size = [], 0
     while True:
@@ -62,7 +62,7 @@
 
 
 def header(scope: Scope, name: str) -> str | None:
-    """Return the first header called `name`, in lower case."""
+    """Return the first header called `name`, which must be in lower case."""
     wanted = name.encode()
     for key, value in scope["headers"]:
         if key == wanted:
--- a/src/brasstray/http/metrics_app.py
+++ b/src/brasstray/http/metrics_app.py
@@ -1,4 +1,4 @@
-"""Serve what was measured, and the host's state, to operators."""
+"""Serve metrics and the host's status to operators."""
 
 from __future__ import annotations
 
@@ -21,10 +21,9 @@
 
 
 class MetricsApp:
-    """Answer with the host's state in JSON at STATUS_PATH.
+    """Serve the host's status as JSON at STATUS_PATH, and metrics at any other path.
 
-    At any other path all that was measured since the start is told in the text format
-    of Prometheus.
+    Metrics cover the time since the start, in the text format of Prometheus.
     """
 
     def __init__(
--- a/src/brasstray/http/reply.py
+++ b/src/brasstray/http/reply.py
@@ -1,4 +1,4 @@
-"""Hold the response to a call over HTTP."""
+"""Define the response to an HTTP call."""
 
 from __future__ import annotations
 
@@ -7,14 +7,14 @@
 
 @dataclass(frozen=True, slots=True)
 class HttpReply:
-    """Hold a status, headers as they came, and the whole body."""
+    """Hold the status, the headers as received, and the complete body."""
 
     status: int
     headers: tuple[tuple[bytes, bytes], ...]
     content: bytes
 
     def header(self, name: bytes) -> bytes | None:
-        """Return the first header called `name`, which is in lower case."""
+        """Return the first header called `name`, which must be in lower case."""
         return next((v for k, v in self.headers if k.lower() == name), None)
 
 
--- a/src/brasstray/http/server.py
+++ b/src/brasstray/http/server.py
@@ -1,4 +1,4 @@
-"""Serve an ASGI application with uvicorn on a listener of one's own."""
+"""Serve an ASGI application with uvicorn on a given listening socket."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 BACKLOG = 2_048
 
 
-# uvicorn renews the date that responses carry once in this time.
+# How often uvicorn refreshes the Date header of responses, in seconds.
 _DATE_AGE_SECONDS = 1.0
 
 
@@ -29,8 +29,8 @@
     def capture_signals(self) -> Generator[None, None, None]:
         yield
 
-    # uvicorn looks ten times a second whether it should exit, which for three servers
-    # was a quarter of an idle host's wake-ups.
+    # Waits for an event instead of polling for exit ten times a second as uvicorn does:
+    # with three servers, that polling caused a quarter of an idle host's wake-ups.
     async def main_loop(self) -> None:
         while not await self.on_tick(0):
             with contextlib.suppress(TimeoutError):
@@ -60,7 +60,7 @@
         self._server = _QuietServer(config)
 
     async def run(self, listener: socket.socket) -> None:
-        """Serve on `listener` until stopped; cut every connection if cancelled."""
+        """Serve on `listener` until stopped; abort all connections if cancelled."""
         try:
             await self._server.serve(sockets=[listener])
         finally:
@@ -71,15 +71,18 @@
                 server.close()
 
     def stop(self) -> None:
-        """End `run` once requests in progress are answered."""
+        """End `run` once the requests in progress are answered."""
         self._server.stop()
 
 
 def listen(address: str, port: int) -> socket.socket:
-    """Return a listener; port 0 takes any; raise OSError if it is not to be had."""
-    # Guards against 40 ms added to each small reply: asyncio sends at once only on
-    # sockets that name their protocol, and others wait for the peer's delayed
-    # acknowledgement after the first part.
+    """Return a listening socket; port 0 takes any free port.
+
+    Raise OSError if the address cannot be bound.
+    """
+    # asyncio sets TCP_NODELAY only on sockets created with an explicit protocol.
+    # Without it, the second part of a reply waits for the peer's delayed
+    # acknowledgement of the first, which added 40 ms to each small reply.
     listener = socket.socket(socket.AF_INET, socket.SOCK_STREAM, socket.IPPROTO_TCP)
     listener.setsockopt(socket.SOL_SOCKET, socket.SO_REUSEADDR, 1)
     try:
--- a/src/brasstray/http/status_page.py
+++ b/src/brasstray/http/status_page.py
@@ -1,4 +1,4 @@
-"""Describe one entry host for operators."""
+"""Report the status of an entry host to operators."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 
 def status_page(host: EntryHost) -> dict[str, Any]:
-    """Return what operators see of `host`."""
+    """Return the status of `host` as a JSON object."""
     leader = host.journal_service.leader
     journal: dict[str, Any] = {
         "term": host.membership.term,
--- a/src/brasstray/http/table_pages.py
+++ b/src/brasstray/http/table_pages.py
@@ -16,13 +16,13 @@
 
 
 class TablePages:
-    """Translate between operators' HTTP and the table."""
+    """Handle HTTP requests for the table."""
 
     def __init__(self, tables: TableCache) -> None:
         self._tables = tables
 
     async def respond(self, method: str, page: str, body: bytes) -> HttpResponse:
-        """Return the response for `page` of the table."""
+        """Return the response for `page`, a path below /v1/table."""
         match method, page:
             case "GET", "":
                 return _page(self._tables.table)
--- a/tests/http/test_caller_app.py
+++ b/tests/http/test_caller_app.py
@@ -1,4 +1,4 @@
-"""Check what callers are told over HTTP, bad input included."""
+"""Check responses to callers over HTTP, also to bad input."""
 
 from __future__ import annotations
 
--- a/tests/http/test_connections.py
+++ b/tests/http/test_connections.py
@@ -1,4 +1,4 @@
-"""Check what a call over a kept connection is taken for, whatever the server does."""
+"""Check the results of calls over keep-alive connections when the server misbehaves."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class Server(asyncio.Protocol):
-    """Send the next answer for each request; None resets, no bytes are silence."""
+    """Send the next answer for each request; None resets, b"" sends nothing."""
 
     connections = 0
     answers: list
@@ -37,7 +37,7 @@
 
 
 def calls(answers, timeout, count):
-    """Return the statuses or errors of `count` calls, and the connections they took."""
+    """Return the results of `count` calls and how many connections they opened."""
 
     class Told(Server):
         connections = 0
@@ -71,8 +71,8 @@
         ([CLOSING, OK], LONG, [(200, b"{}")] * 2, 2),
         ([None, OK], LONG, [ConnectionLostError, (200, b"{}")], 2),
         ([b"nonsense\r\n\r\n", OK], LONG, [ConnectionLostError, (200, b"{}")], 2),
-        # A silent connection is never used again: what it brings late answers a call
-        # that was given up, and would be taken for the answer to another.
+        # A connection that timed out is never reused: its late response belongs to the
+        # abandoned call and would be taken for the response to the next one.
         ([b"", OK], SHORT, [TimeoutError, (200, b"{}")], 2),
         ([OK[:30], OK], SHORT, [TimeoutError, (200, b"{}")], 2),
     ],
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -1,4 +1,4 @@
-"""Check the listeners of the HTTP servers."""
+"""Check the listening sockets of the HTTP servers."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 
 def test_a_listener_names_its_protocol():
-    """Callers see 40 ms more than a job takes, whatever it does.
+    """Guard against 40 ms of extra latency on every reply.
 
-    A reply goes out in two parts; the second waits for the acknowledgement of the
-    first, which the other end delays. asyncio turns that off only on sockets that
-    were made with the protocol named, and accepted ones inherit it.
+    A reply is written in two parts. Unless TCP_NODELAY is set, the second waits for the
+    peer's delayed acknowledgement of the first. asyncio sets it only on sockets created
+    with an explicit protocol; accepted sockets inherit the protocol from the listener.
     """
     with listen("127.0.0.1", 0) as listener:
         assert listener.proto == socket.IPPROTO_TCP
--- a/tests/http/test_slow_response.py
+++ b/tests/http/test_slow_response.py
@@ -1,4 +1,4 @@
-"""Check how long a call waits for a response that comes slowly."""
+"""Check how long a call waits for a slow response."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class VirtualLoop(asyncio.SelectorEventLoop):
-    """Jump to the next timer whenever nothing else is to be done."""
+    """Advance to the next timer at once whenever the loop is idle."""
 
     def __init__(self):
         super().__init__()
@@ -33,7 +33,7 @@
 
 
 class Wire:
-    """Take what is written, and drop the connection."""
+    """Ignore writes and aborts."""
 
     def write(self, data):
         pass
@@ -43,7 +43,7 @@
 
 
 def took(parts, gap):
-    """Return how long a call took, and its body or None; a part comes each `gap`."""
+    """Return how long a call took, and its body or None; a part arrives every `gap`."""
 
     async def whole():
         loop = asyncio.get_running_loop()
@@ -74,10 +74,11 @@
     ids=["at once", "slow", "broken off", "silent", "drips"],
 )
 def test_a_response_is_waited_for_while_it_comes(parts, gap, seconds, body):
-    # Seen: after the configuration had grown, no host with a slow link got it from the
-    # store any more, and nearly no caller was served again. 218 KB took 0.9 s, the call
-    # was broken off after 0.8 s and made again, and the reads filled the links.
-    # Proved by: parts of a response that follow one another within the timeout.
+    # Guards against a timeout that covers the whole response. Once the configuration
+    # had grown to 218 KB, which took 0.9 s, hosts on slow links could not read it from
+    # the store: each call was cut off after 0.8 s and repeated. The reads saturated the
+    # links, and almost no caller was served. Here, the parts of a response follow one
+    # another within the timeout.
     waited, found = took(parts, gap)
     assert waited == pytest.approx(seconds)
     assert found == body
