--- a/src/brasstray/batch/resources.py
+++ b/src/brasstray/batch/resources.py
@@ -30,12 +30,12 @@
             self.gpus - other.gpus,
         )
 
-    def fits(self, room: Resources) -> bool:
-        """Tell whether `room` is at least this much of every resource."""
+    def fits(self, available: Resources) -> bool:
+        """Tell whether `available` is at least this much of every resource."""
         return (
-            self.cpu_millis <= room.cpu_millis
-            and self.memory_mb <= room.memory_mb
-            and self.gpus <= room.gpus
+            self.cpu_millis <= available.cpu_millis
+            and self.memory_mb <= available.memory_mb
+            and self.gpus <= available.gpus
         )
 
 
--- a/src/brasstray/command/table.py
+++ b/src/brasstray/command/table.py
@@ -23,7 +23,7 @@
     Url,
     run_client,
 )
-from brasstray.job.request import problems_of
+from brasstray.job.request import format_validation_errors
 from brasstray.table.errors import TableConflictError
 from brasstray.table.row import ANY_PERIOD, COLUMNS, TableRow
 
@@ -142,7 +142,7 @@
     try:
         return TableRow.model_validate(cells)
     except ValidationError as error:
-        typer.echo(f"{place}: {problems_of(error.errors())}", err=True)
+        typer.echo(f"{place}: {format_validation_errors(error.errors())}", err=True)
         raise typer.Exit(ExitStatus.BAD_USAGE) from error
 
 
--- a/src/brasstray/http/caller_app.py
+++ b/src/brasstray/http/caller_app.py
@@ -22,7 +22,7 @@
 from brasstray.job.ids import CallerName
 from brasstray.job.outcome import Outcome
 from brasstray.job.reason import Reason
-from brasstray.job.request import MAX_DEADLINE, JobRequest, problems_of
+from brasstray.job.request import MAX_DEADLINE, JobRequest, format_validation_errors
 
 if TYPE_CHECKING:
     from brasstray.entry.entry_host import EntryHost
@@ -94,7 +94,9 @@
         try:
             request = JobRequest.model_validate_json(body)
         except ValidationError as error:
-            return refused(None, Reason.BAD_REQUEST, problems_of(error.errors()))
+            return refused(
+                None, Reason.BAD_REQUEST, format_validation_errors(error.errors())
+            )
         key, wait = header(scope, KEY_HEADER), _wait(scope, DEFAULT_WAIT)
         return await self._host.jobs.submit(caller, key, request, wait)
 
--- a/src/brasstray/http/table_pages.py
+++ b/src/brasstray/http/table_pages.py
@@ -7,7 +7,7 @@
 from pydantic import ValidationError
 
 from brasstray.http.exchange import HttpResponse, json_response
-from brasstray.job.request import problems_of
+from brasstray.job.request import format_validation_errors
 from brasstray.table.errors import TableConflictError, TableUnavailableError
 from brasstray.table.table import Table
 
@@ -45,7 +45,9 @@
         try:
             wanted = Table.model_validate_json(body)
         except ValidationError as error:
-            return json_response(400, {"detail": problems_of(error.errors())})
+            return json_response(
+                400, {"detail": format_validation_errors(error.errors())}
+            )
         try:
             return _page(await self._tables.change(wanted))
         except TableConflictError as error:
--- a/src/brasstray/job/job_state.py
+++ b/src/brasstray/job/job_state.py
@@ -15,14 +15,16 @@
     COMMITTING = "committing"
     ANSWERED = "answered"
 
-    def to(self, after: JobState) -> JobState:
-        """Return `after`, or raise TransitionError if this state cannot precede it."""
-        if after not in _FOLLOWERS[self]:
-            raise TransitionError(f"a job cannot go from {self.name} to {after.name}")
-        return after
+    def to(self, next_state: JobState) -> JobState:
+        """Return `next_state`, or raise TransitionError if it is not allowed next."""
+        if next_state not in _TRANSITIONS[self]:
+            raise TransitionError(
+                f"a job cannot go from {self.name} to {next_state.name}"
+            )
+        return next_state
 
 
-_FOLLOWERS = {
+_TRANSITIONS = {
     JobState.ACCEPTED: (JobState.RUNNING,),
     JobState.RUNNING: (JobState.COMMITTING,),
     JobState.COMMITTING: (JobState.ANSWERED,),
--- a/src/brasstray/job/key.py
+++ b/src/brasstray/job/key.py
@@ -62,16 +62,16 @@
     match = _KEY.fullmatch(text)
     if match is None:
         return Err(KEY_HELP)
-    kind, expiry, place, name = match.groups()
+    kind, expiry, location, name = match.groups()
     try:
         expires = datetime.strptime(expiry, EXPIRY_FORMAT).replace(tzinfo=UTC)
     except ValueError:
         return Err(f"{expiry} is not a time; {KEY_HELP}")
     if kind == "own":
-        return Ok(OwnKey(expires, DataCentreName(place), name))
-    if place.count(".") != 2:
-        return Err(f"{place} does not name an entry host; {KEY_HELP}")
-    return Ok(MintedKey(expires, IncarnationId(place), name))
+        return Ok(OwnKey(expires, DataCentreName(location), name))
+    if location.count(".") != 2:
+        return Err(f"{location} does not name an entry host; {KEY_HELP}")
+    return Ok(MintedKey(expires, IncarnationId(location), name))
 
 
 def home_of(key: Key) -> DataCentreName:
--- a/src/brasstray/job/request.py
+++ b/src/brasstray/job/request.py
@@ -57,7 +57,7 @@
     return hashlib.blake2b(data, digest_size=DIGEST_BYTES).hexdigest()
 
 
-def problems_of(errors: list[Any]) -> str:
+def format_validation_errors(errors: list[Any]) -> str:
     """Format pydantic's list of validation errors as one line."""
     return "; ".join(
         f"{'.'.join(str(part) for part in error['loc']) or 'body'}: {error['msg']}"
@@ -71,5 +71,5 @@
     "JobRequest",
     "TaskRequest",
     "digest_of",
-    "problems_of",
+    "format_validation_errors",
 ]
--- a/src/brasstray/job/task_state.py
+++ b/src/brasstray/job/task_state.py
@@ -16,15 +16,17 @@
     NOT_RUN = "not run"
     MAY_HAVE_RUN = "may have run"
 
-    def to(self, after: TaskState) -> TaskState:
-        """Return `after`, or raise TransitionError if this state cannot precede it."""
-        if after not in _FOLLOWERS[self]:
-            raise TransitionError(f"a task cannot go from {self.name} to {after.name}")
-        return after
+    def to(self, next_state: TaskState) -> TaskState:
+        """Return `next_state`, or raise TransitionError if it is not allowed next."""
+        if next_state not in _TRANSITIONS[self]:
+            raise TransitionError(
+                f"a task cannot go from {self.name} to {next_state.name}"
+            )
+        return next_state
 
 
 # SENT goes back to PENDING if the task is known not to have run, or is repeatable.
-_FOLLOWERS = {
+_TRANSITIONS = {
     TaskState.PENDING: (TaskState.SENT, TaskState.NOT_RUN),
     TaskState.SENT: (TaskState.DONE, TaskState.PENDING, TaskState.MAY_HAVE_RUN),
     TaskState.DONE: (),
