--- a/src/brasstray/http/caller_app.py
+++ b/src/brasstray/http/caller_app.py
@@ -17,7 +17,7 @@
     read_body,
 )
 from brasstray.http.status_page import status_page
-from brasstray.http.table_pages import TablePages
+from brasstray.http.table_endpoints import TableEndpoints
 from brasstray.job.answer import Answer, refused
 from brasstray.job.ids import CallerName
 from brasstray.job.outcome import Outcome
@@ -32,9 +32,9 @@
 KEY_HEADER = "idempotency-key"
 MAX_BODY_BYTES = 16 * 1024 * 1024
 DEFAULT_WAIT = timedelta(seconds=60)
-_CALLER = re.compile(r"[A-Za-z0-9._@-]{1,128}")
+_CALLER_PATTERN = re.compile(r"[A-Za-z0-9._@-]{1,128}")
 _MILLISECOND = timedelta(milliseconds=1)
-_STATUS_OF_REFUSAL = {
+_REFUSAL_STATUS = {
     Reason.DRAINING: 503,
     Reason.IDENTITY_MISSING: 401,
     Reason.KEY_CONFLICT: 409,
@@ -50,7 +50,7 @@
 
     def __init__(self, host: EntryHost) -> None:
         self._host = host
-        self._tables = TablePages(host.tables)
+        self._tables = TableEndpoints(host.tables)
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
@@ -68,11 +68,13 @@
         body = await read_body(receive, MAX_BODY_BYTES)
         if body is None:
             detail = f"a body has at most {MAX_BODY_BYTES} bytes"
-            return self._tell(refused(None, Reason.TOO_LARGE, detail))
+            return self._to_response(refused(None, Reason.TOO_LARGE, detail))
         caller = header(scope, IDENTITY_HEADER)
-        if caller is None or not _CALLER.fullmatch(caller):
-            detail = f"{IDENTITY_HEADER} must name the caller, as {_CALLER.pattern}"
-            return self._tell(refused(None, Reason.IDENTITY_MISSING, detail))
+        if caller is None or not _CALLER_PATTERN.fullmatch(caller):
+            detail = (
+                f"{IDENTITY_HEADER} must name the caller, as {_CALLER_PATTERN.pattern}"
+            )
+            return self._to_response(refused(None, Reason.IDENTITY_MISSING, detail))
         match method, path.removeprefix("/v1/").split("/"):
             case _, ["table", *rest]:
                 return await self._tables.respond(method, "/".join(rest), body)
@@ -81,14 +83,14 @@
             case "POST", ["jobs"]:
                 answer = await self._submit(scope, CallerName(caller), body)
             case "GET", ["jobs", key]:
-                wait = _wait(scope, timedelta(0))
+                wait = _wait_parameter(scope, timedelta(0))
                 answer = await self._host.jobs.fetch(CallerName(caller), key, wait)
             case "DELETE", ["jobs", key]:
                 answer = await self._host.jobs.cancel(CallerName(caller), key)
             case _:
                 detail = f"{method} {path} is not served; see POST /v1/jobs"
                 return json_response(404, {"detail": detail})
-        return self._tell(answer)
+        return self._to_response(answer)
 
     async def _submit(self, scope: Scope, caller: CallerName, body: bytes) -> Answer:
         try:
@@ -97,33 +99,33 @@
             return refused(
                 None, Reason.BAD_REQUEST, format_validation_errors(error.errors())
             )
-        key, wait = header(scope, KEY_HEADER), _wait(scope, DEFAULT_WAIT)
+        key, wait = header(scope, KEY_HEADER), _wait_parameter(scope, DEFAULT_WAIT)
         return await self._host.jobs.submit(caller, key, request, wait)
 
-    def _tell(self, answer: Answer) -> HttpResponse:
+    def _to_response(self, answer: Answer) -> HttpResponse:
         self._host.metrics.count_answer(answer.outcome, answer.reason)
         headers = []
         if answer.retry_after_ms is not None:
             seconds = max(1, round(answer.retry_after_ms / 1_000))
             headers.append(("retry-after", str(seconds)))
         return HttpResponse(
-            _status_of(answer),
+            _http_status(answer),
             answer.model_dump_json(exclude_none=True).encode() + b"\n",
             headers=tuple(headers),
         )
 
 
-def _status_of(answer: Answer) -> int:
+def _http_status(answer: Answer) -> int:
     match answer.outcome:
         case Outcome.COMPLETE | Outcome.FAILED:
             return 200
         case Outcome.NOT_YET_KNOWN:
             return 404 if answer.reason is Reason.UNKNOWN_KEY else 202
         case Outcome.REFUSED:
-            return _STATUS_OF_REFUSAL.get(answer.reason or Reason.BAD_REQUEST, 400)
+            return _REFUSAL_STATUS.get(answer.reason or Reason.BAD_REQUEST, 400)
 
 
-def _wait(scope: Scope, default: timedelta) -> timedelta:
+def _wait_parameter(scope: Scope, default: timedelta) -> timedelta:
     text = query(scope, "wait_ms")
     if text is None or not text.isdecimal():
         return default
--- a/src/brasstray/http/client_connection.py
+++ b/src/brasstray/http/client_connection.py
@@ -16,7 +16,7 @@
 
 # A slow response is abandoned after this many times the timeout. A response of 1.4 MB,
 # the largest value as the store sends it, takes seven times the timeout at 2 Mbit/s.
-LONGEST_RESPONSE = 10
+MAX_RESPONSE_TIMEOUTS = 10
 
 
 class ClientConnection(asyncio.Protocol):
@@ -31,7 +31,7 @@
         self._transport: asyncio.Transport | None = None
         self._waiter: asyncio.Future[HttpReply] | None = None
         self._timer: asyncio.TimerHandle | None = None
-        self._heard_at = 0.0
+        self._last_received_at = 0.0
         self._reset()
 
     @property
@@ -43,9 +43,9 @@
         """Return the response to `request`.
 
         Raise TimeoutError if no bytes arrive for `timeout` or the response takes more
-        than LONGEST_RESPONSE times as long. Raise ConnectionLostError if the connection
-        ends first. The connection is closed unless the response is complete and allows
-        keep-alive.
+        than MAX_RESPONSE_TIMEOUTS times as long. Raise ConnectionLostError if the
+        connection ends first. The connection is closed unless the response is complete
+        and allows keep-alive.
 
         The timeout restarts with each part so that large values can arrive over slow
         links. With a limit for the whole response, 218 KB at 2 Mbit/s, which take
@@ -56,18 +56,18 @@
             raise ConnectionLostError("closed while idle")
         loop = asyncio.get_running_loop()
         waiter = self._waiter = loop.create_future()
-        self._expire_when_silent(timeout.total_seconds())
-        whole = False
+        self._start_idle_timer(timeout.total_seconds())
+        complete = False
         try:
             self._transport.write(request)
             reply = await waiter
-            whole = True
+            complete = True
             return reply
         finally:
             if self._timer is not None:
                 self._timer.cancel()
             self._waiter = None
-            if not whole or not self._kept:
+            if not complete or not self._keep_alive:
                 self.close()
 
     def close(self) -> None:
@@ -76,27 +76,30 @@
             self._transport.abort()
             self._transport = None
 
-    def _expire_when_silent(self, timeout: float) -> None:
+    def _start_idle_timer(self, timeout: float) -> None:
         """Fail the call once no bytes have arrived for `timeout` seconds."""
         loop = asyncio.get_running_loop()
-        began = self._heard_at = loop.time()
+        started_at = self._last_received_at = loop.time()
         waiter = self._waiter
 
-        def look() -> None:
+        def check_timeout() -> None:
             now = loop.time()
-            due = min(self._heard_at, began + (LONGEST_RESPONSE - 1) * timeout)
+            due = min(
+                self._last_received_at,
+                started_at + (MAX_RESPONSE_TIMEOUTS - 1) * timeout,
+            )
             if now < due + timeout:
-                self._timer = loop.call_at(due + timeout, look)
+                self._timer = loop.call_at(due + timeout, check_timeout)
             elif waiter is not None and not waiter.done():
                 waiter.set_exception(TimeoutError())
 
-        self._timer = loop.call_at(began + timeout, look)
+        self._timer = loop.call_at(started_at + timeout, check_timeout)
 
     def _reset(self) -> None:
         self._parser = httptools.HttpResponseParser(self)
         self._headers: list[tuple[bytes, bytes]] = []
-        self._parts: list[bytes] = []
-        self._kept = False
+        self._body_parts: list[bytes] = []
+        self._keep_alive = False
 
     # Callbacks of asyncio.Protocol
 
@@ -111,7 +114,7 @@
             # No call is waiting: these bytes must not be taken for a later response.
             self.close()
             return
-        self._heard_at = asyncio.get_running_loop().time()
+        self._last_received_at = asyncio.get_running_loop().time()
         try:
             self._parser.feed_data(data)
         except httptools.HttpParserError as error:
@@ -134,7 +137,7 @@
 
     def on_body(self, body: bytes) -> None:
         """Store a part of the body."""
-        self._parts.append(body)
+        self._body_parts.append(body)
 
     def on_message_complete(self) -> None:
         """Return the complete response to the waiting call."""
@@ -142,10 +145,10 @@
         if status < 200:
             self._headers.clear()
             return
-        reply = HttpReply(status, tuple(self._headers), b"".join(self._parts))
-        kept = self._parser.should_keep_alive()
+        reply = HttpReply(status, tuple(self._headers), b"".join(self._body_parts))
+        keep_alive = self._parser.should_keep_alive()
         self._reset()
-        self._kept = kept
+        self._keep_alive = keep_alive
         if self._waiter is not None and not self._waiter.done():
             self._waiter.set_result(reply)
 
--- a/src/brasstray/http/connections.py
+++ b/src/brasstray/http/connections.py
@@ -16,7 +16,7 @@
     from brasstray.http.reply import HttpReply
 
 CONNECT_TIMEOUT_SECONDS = 1.0
-IDLE_CONNECTIONS = 16
+DEFAULT_MAX_IDLE = 16
 # The kernel drops a connection whose bytes stay unacknowledged for this long; without
 # it a connection across a network partition hangs for minutes.
 USER_TIMEOUT_MS = 2_000
@@ -29,10 +29,10 @@
     its request was written. The usual connection pools hide that.
     """
 
-    def __init__(self, host: str, port: int, most_idle: int = IDLE_CONNECTIONS) -> None:
+    def __init__(self, host: str, port: int, max_idle: int = DEFAULT_MAX_IDLE) -> None:
         self._host = host
         self._port = port
-        self._most_idle = most_idle
+        self._max_idle = max_idle
         self._idle: list[ClientConnection] = []
 
     async def call(
@@ -58,7 +58,7 @@
         if connection is None:
             connection = await self._connect(timeout)
         reply = await connection.call(request, timeout)
-        if connection.usable and len(self._idle) < self._most_idle:
+        if connection.usable and len(self._idle) < self._max_idle:
             self._idle.append(connection)
         else:
             connection.close()
--- a/src/brasstray/http/exchange.py
+++ b/src/brasstray/http/exchange.py
@@ -14,7 +14,7 @@
     Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
     Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 
-DRAINED_BYTES = 64 * 1024 * 1024
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True)
@@ -47,8 +47,8 @@
 async def read_body(receive: Receive, limit: int) -> bytes | None:
     """Return the body, or None if it has more than `limit` bytes.
 
-    The rest of a body over the limit is read and discarded, up to DRAINED_BYTES, so
-    that the caller can finish sending and read the refusal instead of a reset.
+    A body over the limit is read to its end and discarded, up to MAX_DISCARDED_BYTES,
+    so that the caller can finish sending and read the refusal instead of a reset.
     """
     parts, size = [], 0
     while True:
@@ -57,7 +57,7 @@
         size += len(part)
         if size <= limit:
             parts.append(part)
-        if not event.get("more_body", False) or size > DRAINED_BYTES:
+        if not event.get("more_body", False) or size > MAX_DISCARDED_BYTES:
             return b"".join(parts) if size <= limit else None
 
 
--- a/src/brasstray/http/server.py
+++ b/src/brasstray/http/server.py
@@ -16,13 +16,13 @@
 
 
 # How often uvicorn refreshes the Date header of responses, in seconds.
-_DATE_AGE_SECONDS = 1.0
+_DATE_REFRESH_SECONDS = 1.0
 
 
-class _QuietServer(uvicorn.Server):
+class _UvicornServer(uvicorn.Server):
     def __init__(self, config: uvicorn.Config) -> None:
         super().__init__(config)
-        self._stopped = asyncio.Event()
+        self._stop_requested = asyncio.Event()
 
     # The daemon handles signals itself: uvicorn would stop before jobs are answered.
     @contextlib.contextmanager
@@ -34,12 +34,12 @@
     async def main_loop(self) -> None:
         while not await self.on_tick(0):
             with contextlib.suppress(TimeoutError):
-                async with asyncio.timeout(_DATE_AGE_SECONDS):
-                    await self._stopped.wait()
+                async with asyncio.timeout(_DATE_REFRESH_SECONDS):
+                    await self._stop_requested.wait()
 
     def stop(self) -> None:
         self.should_exit = True
-        self._stopped.set()
+        self._stop_requested.set()
 
 
 class HttpServer:
@@ -57,7 +57,7 @@
             timeout_keep_alive=75,
             backlog=BACKLOG,
         )
-        self._server = _QuietServer(config)
+        self._server = _UvicornServer(config)
 
     async def run(self, listener: socket.socket) -> None:
         """Serve on `listener` until stopped; abort all connections if cancelled."""
--- a/src/brasstray/http/table_pages.py
+++ b/src/brasstray/http/table_endpoints.py
@@ -15,7 +15,7 @@
     from brasstray.entry.table_cache import TableCache
 
 
-class TablePages:
+class TableEndpoints:
     """Handle HTTP requests for the table."""
 
     def __init__(self, tables: TableCache) -> None:
@@ -61,4 +61,4 @@
     return HttpResponse(200, table.model_dump_json().encode() + b"\n")
 
 
-__all__ = ["TablePages"]
+__all__ = ["TableEndpoints"]
