--- a/src/brasstray/client/client.py
+++ b/src/brasstray/client/client.py
@@ -20,8 +20,8 @@
     from brasstray.clock.clock import Clock
     from brasstray.job.ids import CallerName
 
-_MILLISECOND_SECONDS = 0.001
-_FALLBACK_RETRY_MS = 500
+_SECONDS_PER_MILLISECOND = 0.001
+_DEFAULT_RETRY_MS = 500
 
 
 class Client:
@@ -39,43 +39,43 @@
         """
         headers = {} if key is None else {KEY_HEADER: key}
         target = f"/v1/jobs?wait_ms={_milliseconds(wait)}"
-        return await self._answer("POST", target, wait, body, headers)
+        return await self._request_answer("POST", target, wait, body, headers)
 
     async def fetch(self, key: str, wait: timedelta) -> Answer:
         """Return what is known within `wait` of a job submitted before."""
         target = f"/v1/jobs/{key}?wait_ms={_milliseconds(wait)}"
-        return await self._answer("GET", target, wait)
+        return await self._request_answer("GET", target, wait)
 
     async def cancel(self, key: str, wait: timedelta) -> Answer:
         """Stop starting tasks of a job and return its answer."""
-        return await self._answer("DELETE", f"/v1/jobs/{key}", wait)
+        return await self._request_answer("DELETE", f"/v1/jobs/{key}", wait)
 
     async def submit_until_final(
-        self, body: bytes, key: str, patience: timedelta
+        self, body: bytes, key: str, timeout: timedelta
     ) -> Answer:
         """Repeat a submission with the same key until its answer is final.
 
-        After `patience`, return the last answer, or raise UnreachableError if there was
+        After `timeout`, return the last answer, or raise UnreachableError if there was
         none. Repeating is safe: the key prevents the job from running twice.
         """
-        deadline = self._clock.monotonic() + patience
-        last: Answer | UnreachableError
+        deadline = self._clock.monotonic() + timeout
+        last_result: Answer | UnreachableError
         while True:
-            left = deadline - self._clock.monotonic()
-            pause_ms = _FALLBACK_RETRY_MS
+            remaining = deadline - self._clock.monotonic()
+            pause_ms = _DEFAULT_RETRY_MS
             try:
-                last = await self.submit(body, key, left)
-                if last.outcome is not Outcome.NOT_YET_KNOWN:
-                    return last
-                pause_ms = last.retry_after_ms or pause_ms
+                last_result = await self.submit(body, key, remaining)
+                if last_result.outcome is not Outcome.NOT_YET_KNOWN:
+                    return last_result
+                pause_ms = last_result.retry_after_ms or pause_ms
             except UnreachableError as error:
-                last = error
+                last_result = error
             if self._clock.monotonic() >= deadline:
                 break
-            await anyio.sleep(pause_ms * _MILLISECOND_SECONDS)
-        if isinstance(last, UnreachableError):
-            raise last
-        return last
+            await anyio.sleep(pause_ms * _SECONDS_PER_MILLISECOND)
+        if isinstance(last_result, UnreachableError):
+            raise last_result
+        return last_result
 
     @property
     def caller(self) -> CallerName:
@@ -89,7 +89,7 @@
 
         Raise UnreachableError if there was no response or its body is not JSON.
         """
-        response = await self._call(method, target, None, body, {})
+        response = await self._request(method, target, None, body, {})
         try:
             return response.status, json.loads(response.content)
         except ValueError as error:
@@ -97,22 +97,22 @@
                 f"{response.status}: response body is not JSON"
             ) from error
 
-    async def mint(self) -> str:
+    async def mint_key(self) -> str:
         """Return a new key made by the entry host."""
-        response = await self._call("POST", "/v1/keys", None, b"", {})
+        response = await self._request("POST", "/v1/keys", None, b"", {})
         key: str = json.loads(response.content)["key"]
         return key
 
     async def status(self) -> dict[str, Any]:
         """Return the status that the entry host reports."""
-        response = await self._call("GET", "/v1/status", None, b"", {})
+        response = await self._request("GET", "/v1/status", None, b"", {})
         try:
             page: dict[str, Any] = json.loads(response.content)
         except ValueError as error:
             raise ClientError("status page is not JSON") from error
         return page
 
-    async def _answer(
+    async def _request_answer(
         self,
         method: str,
         target: str,
@@ -120,14 +120,14 @@
         body: bytes = b"",
         headers: dict[str, str] | None = None,
     ) -> Answer:
-        response = await self._call(method, target, wait, body, headers or {})
+        response = await self._request(method, target, wait, body, headers or {})
         try:
             return Answer.model_validate_json(response.content)
         except ValidationError as error:
             text = response.content[:200].decode(errors="replace")
             raise UnreachableError(f"{response.status}: {text}") from error
 
-    async def _call(
+    async def _request(
         self,
         method: str,
         target: str,
@@ -135,8 +135,8 @@
         body: bytes,
         headers: dict[str, str],
     ) -> httpcore.Response:
-        patience = 10.0 + (wait.total_seconds() if wait is not None else 0.0)
-        sent: list[tuple[str | bytes, str | bytes]] = [
+        timeout_seconds = 10.0 + (wait.total_seconds() if wait is not None else 0.0)
+        request_headers: list[tuple[str | bytes, str | bytes]] = [
             ("host", "brasstray"),
             (IDENTITY_HEADER, self._caller),
             ("content-type", "application/json"),
@@ -146,8 +146,10 @@
         url = httpcore.URL(self._url + target)
         connection = httpcore.AsyncHTTPConnection(url.origin, retries=0)
         try:
-            with anyio.fail_after(patience):
-                return await connection.request(method, url, headers=sent, content=body)
+            with anyio.fail_after(timeout_seconds):
+                return await connection.request(
+                    method, url, headers=request_headers, content=body
+                )
         except (httpcore.NetworkError, httpcore.ProtocolError, TimeoutError) as error:
             raise UnreachableError(f"{method} {self._url}: {error!r}") from error
         finally:
--- a/src/brasstray/client/table_client.py
+++ b/src/brasstray/client/table_client.py
@@ -18,7 +18,7 @@
     from brasstray.table.row import TableRow
 
 TOKEN_BITS = 64
-TRIES = 3
+MAX_ATTEMPTS = 3
 
 
 class TableClient:
@@ -32,19 +32,19 @@
     async def read(self) -> Table:
         """Return the table in force on the host that answers."""
         status, page = await self._client.call_json("GET", "/v1/table")
-        _check(status, page)
+        _check_status(status, page)
         return Table.model_validate(page)
 
     async def history(self) -> list[Table]:
         """Return every version, oldest first."""
         status, page = await self._client.call_json("GET", "/v1/table/history")
-        _check(status, page)
+        _check_status(status, page)
         return [Table.model_validate(item) for item in page]
 
     async def versions(self) -> dict[str, int | None]:
         """Return the version in force on each host, None for hosts without a reply."""
         status, page = await self._client.call_json("GET", "/v1/table/hosts")
-        _check(status, page)
+        _check_status(status, page)
         versions: dict[str, int | None] = page
         return versions
 
@@ -66,7 +66,7 @@
             token=f"{self._random.getrandbits(TOKEN_BITS):016x}",
         )
         body = wanted.model_dump_json().encode()
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 status, page = await self._client.call_json("PUT", "/v1/table", body)
             except UnreachableError:
@@ -75,14 +75,14 @@
                 continue
             if status == 409:
                 raise TableConflictError(Table.model_validate(page["current"]))
-            _check(status, page)
+            _check_status(status, page)
             return Table.model_validate(page)
         raise UnreachableError(
             f"no reply; check the table history for your version {wanted.version}"
         )
 
 
-def _check(status: int, page: Any) -> None:
+def _check_status(status: int, page: Any) -> None:
     if status != 200:
         raise ClientError(f"{status}: {json.dumps(page)}")
 
--- a/src/brasstray/command/exit_status.py
+++ b/src/brasstray/command/exit_status.py
@@ -18,7 +18,7 @@
     UNREACHABLE = 5
 
 
-def status_of(outcome: Outcome) -> ExitStatus:
+def exit_status_for(outcome: Outcome) -> ExitStatus:
     """Return the exit status for `outcome`."""
     match outcome:
         case Outcome.COMPLETE:
@@ -31,4 +31,4 @@
             return ExitStatus.NOT_YET_KNOWN
 
 
-__all__ = ["ExitStatus", "status_of"]
+__all__ = ["ExitStatus", "exit_status_for"]
--- a/src/brasstray/command/host.py
+++ b/src/brasstray/command/host.py
@@ -17,7 +17,7 @@
     from brasstray.host.host_status import EvacuationStatus, OwnedPoolStatus
 
 # A healthy host answers within milliseconds.
-PATIENCE_SECONDS = 5.0
+TIMEOUT_SECONDS = 5.0
 
 _REACH = {True: "in reach", False: "out of reach", None: "not asked"}
 
@@ -29,12 +29,14 @@
     as_json: Json = False,
 ) -> None:
     """Print a host's role, fencing token, minions, peers and versions."""
-    found = _fetch(url.rstrip("/") + STATUS_PATH)
-    typer.echo(msgspec.json.encode(found).decode() if as_json else _as_text(found))
+    status = _fetch(url.rstrip("/") + STATUS_PATH)
+    typer.echo(
+        msgspec.json.encode(status).decode() if as_json else _format_text(status)
+    )
 
 
 def _fetch(url: str) -> HostStatus:
-    timeout = dict.fromkeys(("connect", "read", "write", "pool"), PATIENCE_SECONDS)
+    timeout = dict.fromkeys(("connect", "read", "write", "pool"), TIMEOUT_SECONDS)
     try:
         response = httpcore.request("GET", url, extensions={"timeout": timeout})
         return msgspec.json.decode(response.content, type=HostStatus)
@@ -49,29 +51,29 @@
     raise typer.Exit(ExitStatus.UNREACHABLE)
 
 
-def _as_text(found: HostStatus) -> str:
-    role = "owner and coordinator" if found.owned else "coordinator"
+def _format_text(status: HostStatus) -> str:
+    role = "owner and coordinator" if status.owned else "coordinator"
     lines = [
-        f"{found.incarnation}: {found.state}, {role}",
-        f"  configuration: version {found.config_version}",
-        f"  evacuated: {_evacuation_text(found.evacuations)}",
-        f"  jobs running: {found.jobs}",
+        f"{status.incarnation}: {status.state}, {role}",
+        f"  configuration: version {status.config_version}",
+        f"  evacuated: {_evacuation_text(status.evacuations)}",
+        f"  jobs running: {status.jobs}",
     ]
-    if found.owned is not None:
-        lines += _pool_lines(found.owned)
-    for owner in found.owners:
+    if status.owned is not None:
+        lines += _pool_lines(status.owned)
+    for owner in status.owners:
         reach = _REACH[owner.in_reach]
         lines.append(f"  {owner.pool}: {owner.host}, token {owner.token}, {reach}")
-    lines.append(f"  requested by: {', '.join(found.requesters) or 'nobody'}")
+    lines.append(f"  requested by: {', '.join(status.requesters) or 'nobody'}")
     return "\n".join(lines)
 
 
-def _evacuation_text(found: EvacuationStatus) -> str:
-    if not found.as_of:
+def _evacuation_text(status: EvacuationStatus) -> str:
+    if not status.as_of:
         return "not known"
-    centres = ", ".join(found.data_centres) or "none"
-    heard = f"{found.heard_ms_ago / 1_000:.1f} s ago"
-    return f"{centres}; version {found.as_of} from {found.source}, {heard}"
+    centres = ", ".join(status.data_centres) or "none"
+    heard = f"{status.heard_ms_ago / 1_000:.1f} s ago"
+    return f"{centres}; version {status.as_of} from {status.source}, {heard}"
 
 
 def _pool_lines(owned: OwnedPoolStatus) -> list[str]:
@@ -82,10 +84,10 @@
         f"  free slots {owned.free_slots}, wait {owned.wait_ms} ms",
     ]
     for minion in owned.minions:
-        marks = [minion.reach]
-        marks += ["draining"] * minion.draining + ["suspected"] * minion.suspected
+        flags = [minion.reach]
+        flags += ["draining"] * minion.draining + ["suspected"] * minion.suspected
         free = f"{minion.free_cpu_millis / 1_000:.1f} cores, {minion.free_memory_mb} MB"
-        state = ", ".join(marks)
+        state = ", ".join(flags)
         lines.append(f"  minion {minion.id}: {state}, {minion.runs} runs, free {free}")
     return lines
 
--- a/src/brasstray/command/main.py
+++ b/src/brasstray/command/main.py
@@ -13,7 +13,7 @@
 import anyio
 import typer
 
-from brasstray.command.exit_status import ExitStatus, status_of
+from brasstray.command.exit_status import ExitStatus, exit_status_for
 from brasstray.command.host import host
 from brasstray.command.options import (
     DEFAULT_CALLER,
@@ -71,11 +71,11 @@
         raise typer.Exit(ExitStatus.BAD_USAGE) from error
 
     async def run(client: Client) -> Answer:
-        used = key or await client.mint()
-        typer.echo(f"key: {used}", err=True)
-        return await client.submit_until_final(body, used, timedelta(seconds=wait))
+        job_key = key or await client.mint_key()
+        typer.echo(f"key: {job_key}", err=True)
+        return await client.submit_until_final(body, job_key, timedelta(seconds=wait))
 
-    _tell(run_client(url, caller, run), as_json)
+    _print_and_exit(run_client(url, caller, run), as_json)
 
 
 @app.command()
@@ -87,8 +87,10 @@
     as_json: Json = False,
 ) -> None:
     """Print the answer to a job submitted before."""
-    patience = timedelta(seconds=wait)
-    _tell(run_client(url, caller, lambda client: client.fetch(key, patience)), as_json)
+    timeout = timedelta(seconds=wait)
+    _print_and_exit(
+        run_client(url, caller, lambda client: client.fetch(key, timeout)), as_json
+    )
 
 
 @app.command()
@@ -99,8 +101,10 @@
     as_json: Json = False,
 ) -> None:
     """Stop starting tasks of a job and print the state of each task."""
-    patience = timedelta(seconds=10)
-    _tell(run_client(url, caller, lambda client: client.cancel(key, patience)), as_json)
+    timeout = timedelta(seconds=10)
+    _print_and_exit(
+        run_client(url, caller, lambda client: client.cancel(key, timeout)), as_json
+    )
 
 
 @app.command()
@@ -125,9 +129,9 @@
     minions = page["minions"]
     leaving = sum(minion["leaving"] for minion in minions)
     busy = sum(minion["outstanding"] for minion in minions)
-    credits_ = sum(minion["credits"] for minion in minions)
+    credits_held = sum(minion["credits"] for minion in minions)
     typer.echo(f"  minions: {len(minions)}, {leaving} leaving")
-    typer.echo(f"  slot credits held here: {credits_}, tasks sent: {busy}")
+    typer.echo(f"  slot credits held here: {credits_held}, tasks sent: {busy}")
 
 
 @settings_app.command("check")
@@ -136,15 +140,15 @@
     as_json: Json = False,
 ) -> None:
     """Report every invalid line of a settings file of either daemon."""
-    checked = settings_problems(file)
+    result = settings_problems(file)
     if as_json:
-        typer.echo(json.dumps(checked.as_json()))
-    elif not checked.problems:
-        typer.echo(f"{file}: valid for {checked.daemon.value}")
+        typer.echo(json.dumps(result.as_json()))
+    elif not result.problems:
+        typer.echo(f"{file}: valid for {result.daemon.value}")
     else:
-        for problem in checked.problems:
+        for problem in result.problems:
             typer.echo(f"{file}: {problem}", err=True)
-    if checked.problems:
+    if result.problems:
         raise typer.Exit(ExitStatus.BAD_USAGE)
 
 
@@ -173,13 +177,13 @@
         raise typer.Exit(ExitStatus.FAILED)
 
 
-def _tell(answer: Answer, as_json: bool) -> None:
+def _print_and_exit(answer: Answer, as_json: bool) -> None:
     if as_json:
         typer.echo(answer.model_dump_json(exclude_none=True))
     else:
         typer.echo("\n".join(answer_lines(answer)))
     sys.stdout.flush()
-    raise typer.Exit(status_of(answer.outcome))
+    raise typer.Exit(exit_status_for(answer.outcome))
 
 
 def main() -> None:
--- a/src/brasstray/command/table.py
+++ b/src/brasstray/command/table.py
@@ -40,14 +40,14 @@
 )
 
 
-def _with_table(client: Client) -> TableClient:
+def _table_client(client: Client) -> TableClient:
     return TableClient(client, LoopClock(), SystemRandom())
 
 
-def _lines(table: Table) -> list[str]:
+def _format_table(table: Table) -> list[str]:
     cells = [list(COLUMNS)]
     for row in table.rows:
-        cells.append([_cell(value) for value in row.model_dump().values()])
+        cells.append([_format_cell(value) for value in row.model_dump().values()])
     widths = [max(len(line[i]) for line in cells) for i in range(len(COLUMNS))]
     lines = [
         "  ".join(cell.ljust(width) for cell, width in zip(line, widths, strict=True))
@@ -56,7 +56,7 @@
     return [f"version {table.version} by {table.author or 'nobody'}", *lines]
 
 
-def _cell(value: object) -> str:
+def _format_cell(value: object) -> str:
     if isinstance(value, bool):
         return "yes" if value else "no"
     return str(value)
@@ -67,8 +67,8 @@
     url: Url = DEFAULT_URL, caller: Caller = DEFAULT_CALLER, as_json: Json = False
 ) -> None:
     """Print the table in force."""
-    table = run_client(url, caller, lambda client: _with_table(client).read())
-    typer.echo(table.model_dump_json() if as_json else "\n".join(_lines(table)))
+    table = run_client(url, caller, lambda client: _table_client(client).read())
+    typer.echo(table.model_dump_json() if as_json else "\n".join(_format_table(table)))
 
 
 @table_app.command("set")
@@ -86,10 +86,13 @@
     cells = dict(change.partition("=")[::2] for change in changes)
 
     def edit(rows: list[TableRow]) -> list[TableRow]:
-        place = {"service": service, "period": period}
-        kept = [r for r in rows if (r.service, r.period) != (service, period)]
-        old = next((r.model_dump() for r in rows if r not in kept), place)
-        return [*kept, _row({**old, **cells, **place}, f"{service}, {period}")]
+        row_key = {"service": service, "period": period}
+        others = [r for r in rows if (r.service, r.period) != (service, period)]
+        old = next((r.model_dump() for r in rows if r not in others), row_key)
+        return [
+            *others,
+            _parse_row({**old, **cells, **row_key}, f"{service}, {period}"),
+        ]
 
     _change(url, caller, edit, wait)
 
@@ -107,26 +110,28 @@
     except (OSError, UnicodeDecodeError) as error:
         typer.echo(f"{file}: {error}", err=True)
         raise typer.Exit(ExitStatus.BAD_USAGE) from error
-    rows = [_row(cells, f"line {number}") for number, cells in enumerate(lines, 2)]
+    rows = [
+        _parse_row(cells, f"line {number}") for number, cells in enumerate(lines, 2)
+    ]
     _change(url, caller, lambda _: rows, wait)
 
 
 @table_app.command("export")
 def export_file(url: Url = DEFAULT_URL, caller: Caller = DEFAULT_CALLER) -> None:
     """Print the table as CSV."""
-    table = run_client(url, caller, lambda client: _with_table(client).read())
+    table = run_client(url, caller, lambda client: _table_client(client).read())
     out = io.StringIO()
     writer = csv.writer(out, lineterminator="\n")
     writer.writerow(COLUMNS)
     for row in table.rows:
-        writer.writerow([_cell(value) for value in row.model_dump().values()])
+        writer.writerow([_format_cell(value) for value in row.model_dump().values()])
     typer.echo(out.getvalue(), nl=False)
 
 
 @table_app.command()
 def history(url: Url = DEFAULT_URL, caller: Caller = DEFAULT_CALLER) -> None:
     """Print every version with its author, time and changed rows."""
-    tables = run_client(url, caller, lambda client: _with_table(client).history())
+    tables = run_client(url, caller, lambda client: _table_client(client).history())
     before: set[TableRow] = set()
     for table in tables:
         typer.echo(f"version {table.version} by {table.author} at {table.changed}")
@@ -134,15 +139,15 @@
         for sign, changed in (("-", before - rows), ("+", rows - before)):
             for row in sorted(changed, key=lambda row: (row.service, row.period)):
                 cells = row.model_dump().values()
-                typer.echo(f"  {sign} {' '.join(map(_cell, cells))}")
+                typer.echo(f"  {sign} {' '.join(map(_format_cell, cells))}")
         before = rows
 
 
-def _row(cells: dict, place: str) -> TableRow:
+def _parse_row(cells: dict, location: str) -> TableRow:
     try:
         return TableRow.model_validate(cells)
     except ValidationError as error:
-        typer.echo(f"{place}: {format_validation_errors(error.errors())}", err=True)
+        typer.echo(f"{location}: {format_validation_errors(error.errors())}", err=True)
         raise typer.Exit(ExitStatus.BAD_USAGE) from error
 
 
@@ -153,38 +158,40 @@
     wait: bool,
 ) -> None:
     async def run(client: Client) -> Table:
-        tables = _with_table(client)
+        tables = _table_client(client)
         return await tables.change(edit, await tables.read())
 
     try:
         table = run_client(url, caller, run)
     except TableConflictError as error:
         typer.echo(f"nothing was changed: {error}; the current table is:", err=True)
-        typer.echo("\n".join(_lines(error.current)), err=True)
+        typer.echo("\n".join(_format_table(error.current)), err=True)
         raise typer.Exit(ExitStatus.REFUSED) from error
     typer.echo(f"version {table.version} is accepted")
     if wait:
-        _wait_for(url, caller, table.version)
+        _wait_for_hosts(url, caller, table.version)
 
 
-def _wait_for(url: str, caller: str, version: int) -> None:
-    async def ask(client: Client) -> dict[str, int | None]:
-        return await _with_table(client).versions()
+def _wait_for_hosts(url: str, caller: str, version: int) -> None:
+    async def fetch_versions(client: Client) -> dict[str, int | None]:
+        return await _table_client(client).versions()
 
-    asking: Callable[[Client], Awaitable[dict[str, int | None]]] = ask
-    begun = time.monotonic()
+    call: Callable[[Client], Awaitable[dict[str, int | None]]] = fetch_versions
+    started_at = time.monotonic()
     while True:
-        versions = run_client(url, caller, asking)
-        late = [host for host, found in versions.items() if (found or 0) < version]
-        if not late or time.monotonic() - begun > WAIT_SECONDS:
+        versions = run_client(url, caller, call)
+        outdated = [host for host, found in versions.items() if (found or 0) < version]
+        if not outdated or time.monotonic() - started_at > WAIT_SECONDS:
             break
         time.sleep(POLL_SECONDS)
-    took = time.monotonic() - begun
-    typer.echo(f"in force on {len(versions) - len(late)} hosts after {took:.1f} s")
-    for host in late:
+    elapsed = time.monotonic() - started_at
+    typer.echo(
+        f"in force on {len(versions) - len(outdated)} hosts after {elapsed:.1f} s"
+    )
+    for host in outdated:
         state = "silent" if versions[host] is None else f"version {versions[host]}"
         typer.echo(f"  not on {host}: {state}", err=True)
-    if late:
+    if outdated:
         raise typer.Exit(ExitStatus.NOT_YET_KNOWN)
 
 
--- a/src/brasstray/command/trace.py
+++ b/src/brasstray/command/trace.py
@@ -26,48 +26,50 @@
 ) -> None:
     """Print what all hosts logged of a request, and the line that decided it."""
     try:
-        found = trace_job(job, read_logs(files))
+        result = trace_job(job, read_logs(files))
     except UnreadableLogError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(ExitStatus.BAD_USAGE) from error
     except UnknownJobError as error:
         typer.echo(str(error), err=True)
         raise typer.Exit(ExitStatus.FAILED) from error
-    typer.echo(json.dumps(_as_json(found)) if as_json else _as_text(found))
+    typer.echo(json.dumps(_as_json(result)) if as_json else _format_text(result))
 
 
-def _as_text(found: Trace) -> str:
+def _format_text(result: Trace) -> str:
     rows = [
-        f"{'*' if line is found.cause.line else ' '} {_line(line)}"
-        for line in found.timeline
+        f"{'*' if line is result.cause.line else ' '} {_format_line(line)}"
+        for line in result.timeline
     ]
-    if found.cause.line is not None and found.cause.line not in found.timeline:
-        rows.append(f"* {_line(found.cause.line)}")
-    rows.append(f"cause: {found.cause.meaning}")
-    if found.dropped:
-        rows.append(f"{found.dropped} log lines were dropped; some may be missing here")
+    if result.cause.line is not None and result.cause.line not in result.timeline:
+        rows.append(f"* {_format_line(result.cause.line)}")
+    rows.append(f"cause: {result.cause.meaning}")
+    if result.dropped:
+        rows.append(
+            f"{result.dropped} log lines were dropped; some may be missing here"
+        )
     return "\n".join(rows)
 
 
-def _line(line: LogLine) -> str:
-    fields = " ".join(f"{name}={_value(v)}" for name, v in line.shown().items())
+def _format_line(line: LogLine) -> str:
+    fields = " ".join(f"{name}={_format_value(v)}" for name, v in line.shown().items())
     return f"{line.at:.3f} {line.host} {line.kind} {fields}"
 
 
-def _value(value: object) -> str:
+def _format_value(value: object) -> str:
     return value if isinstance(value, str) else json.dumps(value)
 
 
-def _as_json(found: Trace) -> dict[str, object]:
-    deciding = found.cause.line
+def _as_json(result: Trace) -> dict[str, object]:
+    deciding = result.cause.line
     return {
-        "job": found.job,
-        "lines": [_line_as_json(line) for line in found.timeline],
+        "job": result.job,
+        "lines": [_line_as_json(line) for line in result.timeline],
         "cause": {
             "line": None if deciding is None else _line_as_json(deciding),
-            "meaning": found.cause.meaning,
+            "meaning": result.cause.meaning,
         },
-        "dropped": found.dropped,
+        "dropped": result.dropped,
     }
 
 
