--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -18,38 +18,38 @@
 from brasstray.job.reason import Reason
 
 KEY = KeyText("own~20261231T090000Z~dc-0~a")
-LATER = not_yet_known(KEY, Reason.RUNNING, 1)
+PENDING = not_yet_known(KEY, Reason.RUNNING, 1)
 COMPLETE = Answer(key=KEY, outcome=Outcome.COMPLETE).with_digest()
 REFUSED = refused(None, Reason.BAD_REQUEST, "body: Invalid JSON")
-PATIENCE = timedelta(seconds=30)
+TIMEOUT = timedelta(seconds=30)
 
 
-def submit_to(replies, patience=PATIENCE):
+def submit_with_replies(replies, timeout=TIMEOUT):
     """Return the client's answer when it gets `replies`, and its number of requests."""
-    asked = []
+    requested_paths = []
 
     async def app(scope, receive, send):
         await read_body(receive, 1_000)
-        reply = replies[min(len(asked), len(replies) - 1)]
-        asked.append(scope["path"])
+        reply = replies[min(len(requested_paths), len(replies) - 1)]
+        requested_paths.append(scope["path"])
         if isinstance(reply, Answer):
             body = reply.model_dump_json(exclude_none=True).encode()
             await HttpResponse(200, body).send(send)
         else:
             await HttpResponse(502, reply).send(send)
 
-    async def whole():
+    async def main():
         listener = listen("127.0.0.1", 0)
         url = f"http://127.0.0.1:{listener.getsockname()[1]}"
         async with anyio.create_task_group() as group:
             group.start_soon(HttpServer(app).run, listener)
             client = Client(url, CallerName("c"), LoopClock())
             try:
-                return await client.submit_until_final(b"{}", KEY, patience)
+                return await client.submit_until_final(b"{}", KEY, timeout)
             finally:
                 group.cancel_scope.cancel()
 
-    return anyio.run(whole), len(asked)
+    return anyio.run(main), len(requested_paths)
 
 
 @pytest.mark.parametrize(
@@ -57,15 +57,15 @@
     [
         ([COMPLETE], COMPLETE, 1),
         ([REFUSED], REFUSED, 1),
-        ([LATER, LATER, COMPLETE], COMPLETE, 3),
+        ([PENDING, PENDING, COMPLETE], COMPLETE, 3),
         ([b"bad gateway", COMPLETE], COMPLETE, 2),
     ],
 )
 def test_a_submission_is_repeated_until_its_answer_is_final(replies, expected, asked):
-    assert submit_to(replies) == (expected, asked)
+    assert submit_with_replies(replies) == (expected, asked)
 
 
-def test_without_any_answer_the_caller_is_told_to_ask_again():
+def test_no_valid_answer_raises_unreachable_error():
     with pytest.raises(BaseExceptionGroup) as caught:
-        submit_to([b"bad gateway"], timedelta(0))
+        submit_with_replies([b"bad gateway"], timedelta(0))
     assert caught.group_contains(UnreachableError)
--- a/tests/http/test_caller_app.py
+++ b/tests/http/test_caller_app.py
@@ -13,7 +13,7 @@
 IDENTITY = ("x-brasstray-caller", "filiaal-07")
 
 
-async def ask(app, method, path, headers=(), body=b"", query=""):
+async def send_request(app, method, path, headers=(), body=b"", query=""):
     sent = []
 
     async def receive():
@@ -33,13 +33,13 @@
     return sent[0]["status"], json.loads(sent[1]["body"])
 
 
-def asks(play, *requests):
-    async def story(system):
+def send_requests(play, *requests):
+    async def scenario(system):
         app = CallerApp(system.leader())
-        replies = [await ask(app, *request) for request in requests]
+        replies = [await send_request(app, *request) for request in requests]
         return replies, sum(sum(m.starts.values()) for m in system.minions.values())
 
-    return play(story)
+    return play(scenario)
 
 
 @pytest.mark.parametrize(
@@ -60,19 +60,21 @@
         ([IDENTITY, ("idempotency-key", "x")], JOB, 400, "bad_request"),
     ],
 )
-def test_bad_input_gets_a_clear_refusal(play, headers, body, status, reason):
+def test_bad_input_is_refused_with_a_reason(play, headers, body, status, reason):
     data = body if isinstance(body, bytes) else json.dumps(body).encode()
-    [(told, answer)], starts = asks(play, ("POST", "/v1/jobs", headers, data))
-    assert told == status
+    [(actual_status, answer)], starts = send_requests(
+        play, ("POST", "/v1/jobs", headers, data)
+    )
+    assert actual_status == status
     assert (answer["outcome"], answer["reason"]) == ("refused, not run", reason)
     assert answer["detail"]
     assert starts == 0
 
 
-def test_another_caller_sees_nothing(play):
+def test_other_callers_cannot_see_the_job(play):
     headers = [IDENTITY, ("idempotency-key", GOOD_KEY)]
     path = f"/v1/jobs/{GOOD_KEY}"
-    replies, starts = asks(
+    replies, starts = send_requests(
         play,
         ("POST", "/v1/jobs", headers, json.dumps(JOB).encode()),
         ("GET", path, [IDENTITY]),
@@ -86,18 +88,19 @@
 
 
 def test_a_minted_key_can_be_used_once(play):
-    async def story(system):
+    async def scenario(system):
         app = CallerApp(system.leader())
-        _, minted = await ask(app, "POST", "/v1/keys", [IDENTITY])
+        _, minted = await send_request(app, "POST", "/v1/keys", [IDENTITY])
         headers = [IDENTITY, ("idempotency-key", minted["key"])]
         body = json.dumps(JOB).encode()
         other = CallerApp(system.bystander())
         replies = [
-            await ask(a, "POST", "/v1/jobs", headers, body) for a in (app, other)
+            await send_request(a, "POST", "/v1/jobs", headers, body)
+            for a in (app, other)
         ]
         return replies, system.starts_of(minted["key"])
 
-    replies, starts = play(story)
+    replies, starts = play(scenario)
     assert replies[0] == replies[1]
     assert list(starts.values()) == [1]
 
@@ -113,6 +116,6 @@
         ("PATCH", "/v1/jobs", 404),
     ],
 )
-def test_other_pages(play, method, path, status):
-    [(told, _)], _ = asks(play, (method, path, [IDENTITY]))
-    assert told == status
+def test_other_endpoints(play, method, path, status):
+    [(actual_status, _)], _ = send_requests(play, (method, path, [IDENTITY]))
+    assert actual_status == status
--- a/tests/http/test_connections.py
+++ b/tests/http/test_connections.py
@@ -16,7 +16,7 @@
 SHORT, LONG = timedelta(milliseconds=100), timedelta(seconds=30)
 
 
-class Server(asyncio.Protocol):
+class ScriptedServer(asyncio.Protocol):
     """Send the next answer for each request; None resets, b"" sends nothing."""
 
     connections = 0
@@ -36,31 +36,31 @@
             self.transport.write(answer)
 
 
-def calls(answers, timeout, count):
+def make_calls(answers, timeout, count):
     """Return the results of `count` calls and how many connections they opened."""
 
-    class Told(Server):
+    class CountingServer(ScriptedServer):
         connections = 0
 
-    Told.answers = list(answers)
+    CountingServer.answers = list(answers)
 
-    async def whole():
+    async def main():
         loop = asyncio.get_running_loop()
-        server = await loop.create_server(Told, "127.0.0.1", 0)
+        server = await loop.create_server(CountingServer, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
         connections = Connections("127.0.0.1", port)
-        found = []
+        results = []
         for _ in range(count):
             try:
                 reply = await connections.call("POST", "/x", b"{}", timeout)
-                found.append((reply.status, reply.content))
+                results.append((reply.status, reply.content))
             except (ConnectionLostError, TimeoutError) as error:
-                found.append(type(error))
+                results.append(type(error))
         await connections.aclose()
         server.close()
-        return found
+        return results
 
-    return asyncio.run(whole()), Told.connections
+    return asyncio.run(main()), CountingServer.connections
 
 
 @pytest.mark.parametrize(
@@ -79,13 +79,13 @@
     ids=["kept", "chunked", "closing", "reset", "unreadable", "silent", "part"],
 )
 def test_calls(answers, timeout, results, connections):
-    assert calls(answers, timeout, len(results)) == (results, connections)
+    assert make_calls(answers, timeout, len(results)) == (results, connections)
 
 
-def test_nobody_listens():
-    async def whole():
+def test_closed_port_raises_not_connected_error():
+    async def main():
         listener = await asyncio.get_running_loop().create_server(
-            Server, "127.0.0.1", 0
+            ScriptedServer, "127.0.0.1", 0
         )
         port = listener.sockets[0].getsockname()[1]
         listener.close()
@@ -93,4 +93,4 @@
         await Connections("127.0.0.1", port).call("GET", "/", b"", LONG)
 
     with pytest.raises(NotConnectedError):
-        asyncio.run(whole())
+        asyncio.run(main())
--- a/tests/http/test_server.py
+++ b/tests/http/test_server.py
@@ -7,7 +7,7 @@
 from brasstray.http.server import listen
 
 
-def test_a_listener_names_its_protocol():
+def test_listener_has_explicit_protocol():
     """Guard against 40 ms of extra latency on every reply.
 
     A reply is written in two parts. Unless TCP_NODELAY is set, the second waits for the
--- a/tests/http/test_slow_response.py
+++ b/tests/http/test_slow_response.py
@@ -14,7 +14,7 @@
 BODY = b"r" * 1000
 
 
-class VirtualLoop(asyncio.SelectorEventLoop):
+class VirtualTimeLoop(asyncio.SelectorEventLoop):
     """Advance to the next timer at once whenever the loop is idle."""
 
     def __init__(self):
@@ -22,17 +22,17 @@
         self._now = 0.0
         select = self._selector.select
 
-        def jump(timeout=None):
+        def advance(timeout=None):
             self._now += timeout or 0
             return select(0)
 
-        self._selector.select = jump
+        self._selector.select = advance
 
     def time(self):
         return self._now
 
 
-class Wire:
+class FakeTransport:
     """Ignore writes and aborts."""
 
     def write(self, data):
@@ -42,24 +42,24 @@
         pass
 
 
-def took(parts, gap):
+def time_call(parts, gap):
     """Return how long a call took, and its body or None; a part arrives every `gap`."""
 
-    async def whole():
+    async def main():
         loop = asyncio.get_running_loop()
         connection = ClientConnection()
-        connection._transport = Wire()
+        connection._transport = FakeTransport()
         for number, part in enumerate(parts, start=1):
             loop.call_later(gap * number, connection.data_received, part)
-        began = loop.time()
+        started_at = loop.time()
         try:
             reply = await connection.call(b"GET", TIMEOUT)
         except TimeoutError:
-            return loop.time() - began, None
-        return loop.time() - began, reply.content
+            return loop.time() - started_at, None
+        return loop.time() - started_at, reply.content
 
-    with asyncio.Runner(loop_factory=VirtualLoop) as runner:
-        return runner.run(whole())
+    with asyncio.Runner(loop_factory=VirtualTimeLoop) as runner:
+        return runner.run(main())
 
 
 @pytest.mark.parametrize(
@@ -73,12 +73,12 @@
     ],
     ids=["at once", "slow", "broken off", "silent", "drips"],
 )
-def test_a_response_is_waited_for_while_it_comes(parts, gap, seconds, body):
+def test_timeout_restarts_with_each_part(parts, gap, seconds, body):
     # Guards against a timeout that covers the whole response. Once the configuration
     # had grown to 218 KB, which took 0.9 s, hosts on slow links could not read it from
     # the store: each call was cut off after 0.8 s and repeated. The reads saturated the
     # links, and almost no caller was served. Here, the parts of a response follow one
     # another within the timeout.
-    waited, found = took(parts, gap)
-    assert waited == pytest.approx(seconds)
-    assert found == body
+    elapsed, content = time_call(parts, gap)
+    assert elapsed == pytest.approx(seconds)
+    assert content == body
