--- a/src/brasstray/batch/evacuation_set.py
+++ b/src/brasstray/batch/evacuation_set.py
@@ -9,7 +9,7 @@
 
 
 class EvacuationSet(msgspec.Struct, frozen=True, array_like=True):
-    """Hold the data centres that get no new work, and the store version they are from.
+    """Hold the data centres that get no new work, and the store version they came from.
 
     The set with the higher version wins, even if it has fewer data centres. `as_of` is
     0 for a set that was never read, which is different from an empty set.
--- a/src/brasstray/batch/queue.py
+++ b/src/brasstray/batch/queue.py
@@ -16,9 +16,9 @@
 class Queue:
     """Hold the route of a queue, the service that runs its jobs, and their objective.
 
-    A job is on time if it ends within `stretch` times the duration of its critical path
-    (its longest chain of tasks) plus `slack`. Priority 0 is the highest. A task is
-    given up after `attempts` failed runs.
+    A job is on time if it ends within `stretch` times the estimated duration of its
+    critical path (its longest chain of tasks) plus `slack`. Priority 0 is the highest.
+    A task is given up after `attempts` failed runs.
     """
 
     name: QueueName
--- a/src/brasstray/client/table_client.py
+++ b/src/brasstray/client/table_client.py
@@ -78,7 +78,7 @@
             _check_status(status, page)
             return Table.model_validate(page)
         raise UnreachableError(
-            f"no reply; check the table history for your version {wanted.version}"
+            f"not confirmed; check the table history for your version {wanted.version}"
         )
 
 
--- a/src/brasstray/command/host.py
+++ b/src/brasstray/command/host.py
@@ -57,7 +57,7 @@
         f"{status.incarnation}: {status.state}, {role}",
         f"  configuration: version {status.config_version}",
         f"  evacuated: {_evacuation_text(status.evacuations)}",
-        f"  jobs running: {status.jobs}",
+        f"  active jobs: {status.jobs}",
     ]
     if status.owned is not None:
         lines += _pool_lines(status.owned)
--- a/src/brasstray/http/server.py
+++ b/src/brasstray/http/server.py
@@ -15,7 +15,7 @@
 BACKLOG = 2_048
 
 
-# How often uvicorn refreshes the Date header of responses, in seconds.
+# Each tick of the main loop makes uvicorn refresh the Date header of responses.
 _DATE_REFRESH_SECONDS = 1.0
 
 
