--- a/src/brasstray/client/table_client.py
+++ b/src/brasstray/client/table_client.py
@@ -18,11 +18,11 @@
     from brasstray.table.row import TableRow
 
 TOKEN_BITS = 64
-TRIES = 3
+MAX_ATTEMPTS = 3
 
 
 class TableClient:
-    """Make changes that are applied once, whatever replies are lost."""
+    """Read the table, and change it exactly once even if replies are lost."""
 
     def __init__(self, client: Client, clock: Clock, random: Random) -> None:
         self._client = client
@@ -30,21 +30,21 @@
         self._random = random
 
     async def read(self) -> Table:
-        """Return the table in force on the host that is reached."""
+        """Return the table in force on the host that answers."""
         status, page = await self._client.call_json("GET", "/v1/table")
-        _check(status, page)
+        _check_status(status, page)
         return Table.model_validate(page)
 
     async def history(self) -> list[Table]:
         """Return every version, oldest first."""
         status, page = await self._client.call_json("GET", "/v1/table/history")
-        _check(status, page)
+        _check_status(status, page)
         return [Table.model_validate(item) for item in page]
 
     async def versions(self) -> dict[str, int | None]:
-        """Return the version in force on each host, None for silent ones."""
+        """Return the version in force on each host, None for hosts without a reply."""
         status, page = await self._client.call_json("GET", "/v1/table/hosts")
-        _check(status, page)
+        _check_status(status, page)
         versions: dict[str, int | None] = page
         return versions
 
@@ -53,9 +53,10 @@
     ) -> Table:
         """Apply `edit` to the rows of `based_on` and return the new table.
 
-        Raise TableConflictError if the table was changed since. A reply that is lost
-        is asked for again under the same token, so the change is applied once, and is
-        reported as it is.
+        Raise TableConflictError if the table was changed since `based_on`. After a lost
+        reply the request is retried with the same token, by which the host recognizes
+        a change that it has already applied. Raise UnreachableError if every
+        try fails; the change may have been applied.
         """
         wanted = Table(
             version=based_on.version + 1,
@@ -65,7 +66,7 @@
             token=f"{self._random.getrandbits(TOKEN_BITS):016x}",
         )
         body = wanted.model_dump_json().encode()
-        for _ in range(TRIES):
+        for _ in range(MAX_ATTEMPTS):
             try:
                 status, page = await self._client.call_json("PUT", "/v1/table", body)
             except UnreachableError:
@@ -74,14 +75,14 @@
                 continue
             if status == 409:
                 raise TableConflictError(Table.model_validate(page["current"]))
-            _check(status, page)
+            _check_status(status, page)
             return Table.model_validate(page)
         raise UnreachableError(
-            f"no reply; see whether the history has version {wanted.version} of yours"
+            f"not confirmed; check the table history for your version {wanted.version}"
         )
 
 
-def _check(status: int, page: Any) -> None:
+def _check_status(status: int, page: Any) -> None:
     if status != 200:
         raise ClientError(f"{status}: {json.dumps(page)}")
 
--- a/src/brasstray/command/exit_status.py
+++ b/src/brasstray/command/exit_status.py
@@ -1,4 +1,4 @@
-"""List the exit statuses of the command line."""
+"""Define the exit statuses of the command line."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class ExitStatus(IntEnum):
-    """Tell a script how a command ended."""
+    """Describe how a command ended, for scripts."""
 
     COMPLETE = 0
     FAILED = 1
@@ -18,8 +18,8 @@
     UNREACHABLE = 5
 
 
-def status_of(outcome: Outcome) -> ExitStatus:
-    """Return the exit status that tells `outcome`."""
+def exit_status_for(outcome: Outcome) -> ExitStatus:
+    """Return the exit status for `outcome`."""
     match outcome:
         case Outcome.COMPLETE:
             return ExitStatus.COMPLETE
@@ -31,4 +31,4 @@
             return ExitStatus.NOT_YET_KNOWN
 
 
-__all__ = ["ExitStatus", "status_of"]
+__all__ = ["ExitStatus", "exit_status_for"]
--- a/src/brasstray/command/main.py
+++ b/src/brasstray/command/main.py
@@ -1,4 +1,4 @@
-"""Offer the command line for callers and operators."""
+"""Define the command line for callers and operators."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 import anyio
 import typer
 
-from brasstray.command.exit_status import ExitStatus, status_of
+from brasstray.command.exit_status import ExitStatus, exit_status_for
 from brasstray.command.host import host
 from brasstray.command.options import (
     DEFAULT_CALLER,
@@ -37,12 +37,12 @@
     "3 refused and not run, 4 not yet known, 5 no entry host reached."
 )
 app = typer.Typer(
-    help="Submit closing jobs and look at the entry hosts.",
+    help="Submit jobs and inspect entry hosts.",
     epilog=_EPILOG,
     no_args_is_help=True,
     add_completion=False,
 )
-settings_app = typer.Typer(help="Work on settings files.", no_args_is_help=True)
+settings_app = typer.Typer(help="Check settings files.", no_args_is_help=True)
 app.add_typer(settings_app, name="settings")
 app.add_typer(table_app, name="table")
 app.command()(trace)
@@ -58,12 +58,12 @@
     url: Url = DEFAULT_URL,
     caller: Caller = DEFAULT_CALLER,
     key: Annotated[
-        str | None, typer.Option(help="The job's key; without one, a new key is made.")
+        str | None, typer.Option(help="The job's key; by default a new key is made.")
     ] = None,
     wait: Wait = 60,
     as_json: Json = False,
 ) -> None:
-    """Submit a job and print its answer; the key is printed first, to ask again."""
+    """Submit a job and print its answer; the key is printed first, for retries."""
     try:
         body = job_file.read_bytes()
     except OSError as error:
@@ -71,11 +71,11 @@
         raise typer.Exit(ExitStatus.BAD_USAGE) from error
 
     async def run(client: Client) -> Answer:
-        used = key or await client.mint()
-        typer.echo(f"key: {used}", err=True)
-        return await client.submit_until_final(body, used, timedelta(seconds=wait))
+        job_key = key or await client.mint_key()
+        typer.echo(f"key: {job_key}", err=True)
+        return await client.submit_until_final(body, job_key, timedelta(seconds=wait))
 
-    _tell(run_client(url, caller, run), as_json)
+    _print_and_exit(run_client(url, caller, run), as_json)
 
 
 @app.command()
@@ -87,8 +87,10 @@
     as_json: Json = False,
 ) -> None:
     """Print the answer to a job submitted before."""
-    patience = timedelta(seconds=wait)
-    _tell(run_client(url, caller, lambda client: client.fetch(key, patience)), as_json)
+    timeout = timedelta(seconds=wait)
+    _print_and_exit(
+        run_client(url, caller, lambda client: client.fetch(key, timeout)), as_json
+    )
 
 
 @app.command()
@@ -98,16 +100,18 @@
     caller: Caller = DEFAULT_CALLER,
     as_json: Json = False,
 ) -> None:
-    """Stop a job's starts at once and print what became of its tasks."""
-    patience = timedelta(seconds=10)
-    _tell(run_client(url, caller, lambda client: client.cancel(key, patience)), as_json)
+    """Stop starting tasks of a job and print the state of each task."""
+    timeout = timedelta(seconds=10)
+    _print_and_exit(
+        run_client(url, caller, lambda client: client.cancel(key, timeout)), as_json
+    )
 
 
 @app.command()
 def status(
     url: Url = DEFAULT_URL, caller: Caller = DEFAULT_CALLER, as_json: Json = False
 ) -> None:
-    """Print what an entry host sees of itself, its peers and minions."""
+    """Print an entry host's status, its peers and its minions."""
     page = run_client(url, caller, lambda client: client.status())
     if as_json:
         typer.echo(json.dumps(page))
@@ -118,16 +122,16 @@
     typer.echo(f"  jobs remembered: {page['jobs_remembered']}")
     typer.echo(f"  journal: term {journal['term']}, led by {journal['leader']}")
     if journal.get("offline"):
-        typer.echo("  the platform is not reached: replicas keep the journal")
+        typer.echo("  the platform is unreachable: replicas hold the journal")
     for peer in page["peers"]:
         state = "draining" if peer["draining"] else "live"
         typer.echo(f"  peer {peer['incarnation']}: {state}")
     minions = page["minions"]
     leaving = sum(minion["leaving"] for minion in minions)
     busy = sum(minion["outstanding"] for minion in minions)
-    credits_ = sum(minion["credits"] for minion in minions)
+    credits_held = sum(minion["credits"] for minion in minions)
     typer.echo(f"  minions: {len(minions)}, {leaving} leaving")
-    typer.echo(f"  slot credits held here: {credits_}, tasks sent: {busy}")
+    typer.echo(f"  slot credits held here: {credits_held}, tasks sent: {busy}")
 
 
 @settings_app.command("check")
@@ -135,32 +139,32 @@
     file: Annotated[Path, typer.Argument(help="The INI file to check.")],
     as_json: Json = False,
 ) -> None:
-    """Name every wrong line of a settings file, of whichever daemon."""
-    checked = settings_problems(file)
+    """Report every invalid line of a settings file of either daemon."""
+    result = settings_problems(file)
     if as_json:
-        typer.echo(json.dumps(checked.as_json()))
-    elif not checked.problems:
-        typer.echo(f"{file}: good, for {checked.daemon.value}")
+        typer.echo(json.dumps(result.as_json()))
+    elif not result.problems:
+        typer.echo(f"{file}: valid for {result.daemon.value}")
     else:
-        for problem in checked.problems:
+        for problem in result.problems:
             typer.echo(f"{file}: {problem}", err=True)
-    if checked.problems:
+    if result.problems:
         raise typer.Exit(ExitStatus.BAD_USAGE)
 
 
 @app.command()
 def demo(
-    seed: Annotated[int, typer.Option(help="Seeds what is drawn at random.")] = 1,
-    examples: Annotated[
-        Path, typer.Option(help="The folder with the job files.")
-    ] = Path("examples"),
+    seed: Annotated[int, typer.Option(help="Seed for random numbers.")] = 1,
+    examples: Annotated[Path, typer.Option(help="Folder of the job files.")] = Path(
+        "examples"
+    ),
     as_json: Json = False,
 ) -> None:
-    """Run a whole system on loopback, break parts of it, and check the rules."""
-    # Imported here, so that the stand-ins are loaded for nothing else.
+    """Run a complete system on loopback, inject faults, and check its invariants."""
+    # Imported here so that no other command loads the stand-ins.
     from brasstray_standins.demo import render, run_demo
 
-    # Servers that are killed on purpose would fill the terminal with tracebacks.
+    # Servers that the demo kills would fill the terminal with tracebacks.
     logging.getLogger("uvicorn").addHandler(logging.NullHandler())
     logging.getLogger("websockets").addHandler(logging.NullHandler())
     try:
@@ -173,17 +177,17 @@
         raise typer.Exit(ExitStatus.FAILED)
 
 
-def _tell(answer: Answer, as_json: bool) -> None:
+def _print_and_exit(answer: Answer, as_json: bool) -> None:
     if as_json:
         typer.echo(answer.model_dump_json(exclude_none=True))
     else:
         typer.echo("\n".join(answer_lines(answer)))
     sys.stdout.flush()
-    raise typer.Exit(status_of(answer.outcome))
+    raise typer.Exit(exit_status_for(answer.outcome))
 
 
 def main() -> None:
-    """Run the program."""
+    """Run the command line."""
     app()
 
 
--- a/src/brasstray/http/exchange.py
+++ b/src/brasstray/http/exchange.py
@@ -1,4 +1,4 @@
-"""Read and write the bodies of HTTP exchanges over ASGI."""
+"""Read requests and send responses over ASGI."""
 
 from __future__ import annotations
 
@@ -14,12 +14,12 @@
     Receive = Callable[[], Awaitable[MutableMapping[str, Any]]]
     Send = Callable[[MutableMapping[str, Any]], Awaitable[None]]
 
-DRAINED_BYTES = 64 * 1024 * 1024
+MAX_DISCARDED_BYTES = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True)
 class HttpResponse:
-    """Hold a status, a body and headers."""
+    """Hold the status, body and headers of a response."""
 
     status: int
     body: bytes = b""
@@ -47,8 +47,8 @@
 async def read_body(receive: Receive, limit: int) -> bytes | None:
     """Return the body, or None if it has more than `limit` bytes.
 
-    A body over the limit is read on and thrown away, so that the caller has sent it
-    and reads the refusal instead of a reset.
+    A body over the limit is read to its end and discarded, up to MAX_DISCARDED_BYTES,
+    so that the caller can finish sending and read the refusal instead of a reset.
     """
     parts, size = [], 0
     while True:
@@ -57,12 +57,12 @@
         size += len(part)
         if size <= limit:
             parts.append(part)
-        if not event.get("more_body", False) or size > DRAINED_BYTES:
+        if not event.get("more_body", False) or size > MAX_DISCARDED_BYTES:
             return b"".join(parts) if size <= limit else None
 
 
 def header(scope: Scope, name: str) -> str | None:
-    """Return the first header called `name`, in lower case."""
+    """Return the first header called `name`, which must be in lower case."""
     wanted = name.encode()
     for key, value in scope["headers"]:
         if key == wanted:
--- a/src/brasstray/http/table_pages.py
+++ b/src/brasstray/http/table_endpoints.py
@@ -7,7 +7,7 @@
 from pydantic import ValidationError
 
 from brasstray.http.exchange import HttpResponse, json_response
-from brasstray.job.request import problems_of
+from brasstray.job.request import format_validation_errors
 from brasstray.table.errors import TableConflictError, TableUnavailableError
 from brasstray.table.table import Table
 
@@ -15,14 +15,14 @@
     from brasstray.entry.table_cache import TableCache
 
 
-class TablePages:
-    """Translate between operators' HTTP and the table."""
+class TableEndpoints:
+    """Handle HTTP requests for the table."""
 
     def __init__(self, tables: TableCache) -> None:
         self._tables = tables
 
     async def respond(self, method: str, page: str, body: bytes) -> HttpResponse:
-        """Return the response for `page` of the table."""
+        """Return the response for `page`, a path below /v1/table."""
         match method, page:
             case "GET", "":
                 return _page(self._tables.table)
@@ -45,7 +45,9 @@
         try:
             wanted = Table.model_validate_json(body)
         except ValidationError as error:
-            return json_response(400, {"detail": problems_of(error.errors())})
+            return json_response(
+                400, {"detail": format_validation_errors(error.errors())}
+            )
         try:
             return _page(await self._tables.change(wanted))
         except TableConflictError as error:
@@ -59,4 +61,4 @@
     return HttpResponse(200, table.model_dump_json().encode() + b"\n")
 
 
-__all__ = ["TablePages"]
+__all__ = ["TableEndpoints"]
--- a/src/brasstray/job/job_state.py
+++ b/src/brasstray/job/job_state.py
@@ -1,4 +1,4 @@
-"""List the states of a job on its executor."""
+"""Define the states of a job on its executor."""
 
 from __future__ import annotations
 
@@ -8,21 +8,23 @@
 
 
 class JobState(Enum):
-    """Tell how far a job has come."""
+    """Describe the progress of a job."""
 
     ACCEPTED = "accepted"
     RUNNING = "running"
     COMMITTING = "committing"
     ANSWERED = "answered"
 
-    def to(self, after: JobState) -> JobState:
-        """Return `after`, or raise TransitionError if it cannot follow."""
-        if after not in _FOLLOWERS[self]:
-            raise TransitionError(f"a job cannot go from {self.name} to {after.name}")
-        return after
+    def to(self, next_state: JobState) -> JobState:
+        """Return `next_state`, or raise TransitionError if it is not allowed next."""
+        if next_state not in _TRANSITIONS[self]:
+            raise TransitionError(
+                f"a job cannot go from {self.name} to {next_state.name}"
+            )
+        return next_state
 
 
-_FOLLOWERS = {
+_TRANSITIONS = {
     JobState.ACCEPTED: (JobState.RUNNING,),
     JobState.RUNNING: (JobState.COMMITTING,),
     JobState.COMMITTING: (JobState.ANSWERED,),
--- a/src/brasstray/job/task_state.py
+++ b/src/brasstray/job/task_state.py
@@ -1,4 +1,4 @@
-"""List the states of a task."""
+"""Define the states of a task."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 class TaskState(Enum):
-    """Tell how far a task has come."""
+    """Describe the progress of a task."""
 
     PENDING = "pending"
     SENT = "sent"
@@ -16,15 +16,17 @@
     NOT_RUN = "not run"
     MAY_HAVE_RUN = "may have run"
 
-    def to(self, after: TaskState) -> TaskState:
-        """Return `after`, or raise TransitionError if it cannot follow."""
-        if after not in _FOLLOWERS[self]:
-            raise TransitionError(f"a task cannot go from {self.name} to {after.name}")
-        return after
+    def to(self, next_state: TaskState) -> TaskState:
+        """Return `next_state`, or raise TransitionError if it is not allowed next."""
+        if next_state not in _TRANSITIONS[self]:
+            raise TransitionError(
+                f"a task cannot go from {self.name} to {next_state.name}"
+            )
+        return next_state
 
 
-# SENT to PENDING is for a task known not to have run, or one that may be repeated.
-_FOLLOWERS = {
+# SENT goes back to PENDING if the task is known not to have run, or is repeatable.
+_TRANSITIONS = {
     TaskState.PENDING: (TaskState.SENT, TaskState.NOT_RUN),
     TaskState.SENT: (TaskState.DONE, TaskState.PENDING, TaskState.MAY_HAVE_RUN),
     TaskState.DONE: (),
