--- a/src/brasstray/platform/__init__.py
+++ b/src/brasstray/platform/__init__.py
@@ -1,5 +1,5 @@
-"""Speak the formats of the users' platform, and decide nothing.
+"""Translate between the platform's wire formats and the project's types.
 
-Every name of the wire stands in this package only. Messages are decoded once into the
-project's types.
+The names of the wire formats appear in this package only. It decodes each message once
+and makes no dispatching decisions.
 """
--- a/src/brasstray/platform/body.py
+++ b/src/brasstray/platform/body.py
@@ -1,4 +1,4 @@
-"""Read and write JSON bodies whose names are in the platform's spelling."""
+"""Encode and decode JSON bodies with the platform's PascalCase field names."""
 
 from __future__ import annotations
 
@@ -12,30 +12,31 @@
 
 
 class UnreadableBodyError(Exception):
-    """The text is no body of the kind that was asked for."""
+    """The text is not a valid JSON body of the requested type."""
 
 
 class Body(
     msgspec.Struct, rename="pascal", frozen=True, omit_defaults=True, kw_only=True
 ):
-    """Spell the fields of subclasses in capitals, as TimeoutMs for timeout_ms.
+    """Map fields of subclasses to PascalCase keys, such as timeout_ms to TimeoutMs.
 
-    Fields that are not known are ignored: newer ones may come. Numbers may come as
-    text or as whole fractions.
+    Unknown fields are ignored, since newer versions of the platform may add some.
+    `decode` also accepts numbers as strings, and integers as floats without a
+    fractional part.
     """
 
     def encode(self) -> bytes:
-        """Return the JSON; fields that have their default are left out."""
+        """Encode to JSON, without the fields that have their default value."""
         return msgspec.json.encode(self)
 
     @classmethod
     def decode(cls, text: bytes) -> Self:
-        """Return the body in `text`; raise UnreadableBodyError if it has none."""
+        """Decode `text`, converting numbers; raise UnreadableBodyError if invalid."""
         return cls._decode(text, strict=False)
 
     @classmethod
     def decode_strictly(cls, text: bytes) -> Self:
-        """Return the body in `text`, whose fields must be of their own types."""
+        """Decode `text` without converting types; raise UnreadableBodyError."""
         return cls._decode(text, strict=True)
 
     @classmethod
--- a/src/brasstray/platform/configuration_body.py
+++ b/src/brasstray/platform/configuration_body.py
@@ -1,4 +1,4 @@
-"""Decode the operators' configuration."""
+"""Decode the configuration that operators write."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Route(Body, frozen=True, kw_only=True):
-    """Describe a queue; `slo_ms` is what its objective has beyond the stretch."""
+    """Describe a queue; `slo_ms` is the part of its objective on top of `stretch`."""
 
     name: str
     host: str
@@ -27,7 +27,7 @@
     slo_ms: int = 0
 
     def queue(self) -> Queue:
-        """Return the route as a queue."""
+        """Convert the route to a queue."""
         return Queue(
             QueueName(self.name),
             self.host,
@@ -41,13 +41,13 @@
 
 
 class ServiceBody(Body, frozen=True, kw_only=True):
-    """Describe a service that minions may be of."""
+    """Describe a service that minions may provide."""
 
     name: str
 
 
 class Limits(Body, frozen=True, kw_only=True):
-    """Bound what callers send."""
+    """Limit the size of callers' requests."""
 
     max_body_bytes: int = BodyLimits().body_bytes
 
@@ -62,7 +62,7 @@
 
 
 def parse_configuration(text: bytes) -> Configuration:
-    """Return the configuration in `text`; raise UnreadableConfigError."""
+    """Decode a configuration; raise UnreadableConfigError if it is invalid."""
     try:
         body = ConfigurationBody.decode(text)
     except UnreadableBodyError as error:
--- a/src/brasstray/platform/front_app.py
+++ b/src/brasstray/platform/front_app.py
@@ -1,4 +1,4 @@
-"""Answer callers in the platform's format."""
+"""Serve the callers' HTTP interface in the platform's format."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
     from brasstray.http.exchange import Receive, Scope, Send
 
 DEADLINE_HEADER = "x-deadline"
-# A caller that says nothing of its timeout is taken to wait as long as most do.
+# The timeout that most callers use, assumed where a request does not state one.
 DEFAULT_TIMEOUT = timedelta(milliseconds=1_500)
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
 _CLOSE = (("connection", "close"),)
@@ -33,19 +33,19 @@
 
 
 class FrontApp:
-    """Serve the queues of the configuration in force."""
+    """Serve the queues of the active configuration."""
 
     def __init__(self, host: PoolHost) -> None:
         self._host = host
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request; answer nobody if the caller has gone."""
+        """Answer one request; send no response if the caller has disconnected."""
         response = await self._respond(scope, receive)
         if response is None:
             return
         if self._host.draining:
-            # A caller that keeps its connection to a host that leaves would send its
-            # next request into the void.
+            # The next request on a connection that is kept alive would be lost when
+            # this host stops.
             response = HttpResponse(
                 response.status,
                 response.body,
@@ -109,7 +109,7 @@
 
         async with anyio.create_task_group() as group:
             group.start_soon(run, group.cancel_scope)
-            # A caller that hangs up wants nothing more: what runs for it is stopped.
+            # A caller that disconnects needs no answer: stop the tasks of its job.
             while (await receive())["type"] != "http.disconnect":
                 pass
             group.cancel_scope.cancel()
--- a/src/brasstray/platform/job_bodies.py
+++ b/src/brasstray/platform/job_bodies.py
@@ -13,21 +13,24 @@
 from brasstray.batch.step import Step
 from brasstray.platform.body import Body, UnreadableBodyError
 
-# The largest job at full size has 1,700 tasks.
+# Upper bound for one step; the largest job at full load has 1,700 tasks.
 MOST_TASKS = 10_000
 _Count = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class UnreadableJobError(Exception):
-    """The body is no job."""
+    """The body is not a valid job."""
 
 
 class UnsupportedJobError(Exception):
-    """The job asks for what this system does not do; nothing of it runs."""
+    """The job requires a feature that is not supported; none of its tasks run."""
 
 
 class StepBody(Body, frozen=True, kw_only=True):
-    """Describe a step; `cpu` counts thousandths of a core, `after` earlier steps."""
+    """Describe a step of a job.
+
+    `cpu` is in thousandths of a core; `after` holds indices of earlier steps.
+    """
 
     count: Annotated[int, msgspec.Meta(ge=1, le=MOST_TASKS)] = 1
     cpu: _Count = 0
@@ -42,7 +45,7 @@
     target_ms: int = 0
 
     def step(self, number: int) -> Step:
-        """Return the step; raise UnreadableJobError or UnsupportedJobError."""
+        """Convert to a step; raise UnreadableJobError or UnsupportedJobError."""
         if any(not 0 <= before < number for before in self.after):
             raise UnreadableJobError(f"step {number} waits for a step not before it")
         if self.gang or self.target_ms:
@@ -59,7 +62,7 @@
 
 
 class JobBody(Body, frozen=True, kw_only=True):
-    """Describe a job; `best_effort` ones are answered when they end, and not stored."""
+    """Describe a job; `best_effort` jobs are not stored, and answered at their end."""
 
     spec: str = ""
     steps: Annotated[list[StepBody], msgspec.Meta(min_length=1)]
@@ -69,7 +72,7 @@
 
 
 def parse_job(batch: str, text: bytes) -> Batch:
-    """Return the job in `text`; raise UnreadableJobError or UnsupportedJobError."""
+    """Decode a job; raise UnreadableJobError or UnsupportedJobError."""
     try:
         body = JobBody.decode(text)
     except UnreadableBodyError as error:
--- a/src/brasstray/platform/minion_bodies.py
+++ b/src/brasstray/platform/minion_bodies.py
@@ -1,4 +1,4 @@
-"""Describe the bodies of the calls to minions."""
+"""Define the request and response bodies of the minions' HTTP interface."""
 
 from __future__ import annotations
 
@@ -20,7 +20,10 @@
 
 
 class StartBody(Body, frozen=True, kw_only=True):
-    """Ask for a start; `until_ms` is on the minion's clock, for all that runs there."""
+    """Request the start of a run.
+
+    `until_ms`, on the minion's clock, is when the lease of all its runs expires.
+    """
 
     task: str
     run: int
@@ -30,7 +33,7 @@
 
 
 class StopBody(Body, frozen=True, kw_only=True):
-    """Ask for a stop."""
+    """Request that a run be stopped."""
 
     task: str
     run: int
@@ -38,7 +41,11 @@
 
 
 class HoldBody(Body, frozen=True, kw_only=True):
-    """Ask what runs; `last_seen` acknowledges the ends up to that number."""
+    """Request a report of the runs, and extend their lease to `until_ms` if given.
+
+    `last_seen` acknowledges the ended runs up to that number. The minion replies after
+    `wait_ms` at the latest, or once a run ends.
+    """
 
     fencing_token: int
     last_seen: int
@@ -47,21 +54,28 @@
 
 
 class Reply(Body, frozen=True, kw_only=True):
-    """Hold what a start or a refusal says; `clock_ms` is the minion's clock."""
+    """Hold the reply to a start, or a refusal; `clock_ms` is the minion's clock."""
 
     clock_ms: int = 0
     reason: str = ""
 
 
 class HoldReply(Body, frozen=True, kw_only=True):
-    """Hold rows of task, run, checkpoint, percent and more, and of ends."""
+    """Report the active and the ended runs of a minion.
+
+    Rows of `running` begin with task, run, checkpoint and percent; those of `finished`
+    with number, task, run and the kind of end. Further columns are ignored.
+    """
 
     clock_ms: int
     running: list[list[str | int | float]] = msgspec.field(default_factory=list)
     finished: list[list[str | int | float]] = msgspec.field(default_factory=list)
 
     def probe_reply(self) -> ProbeReply:
-        """Return what the rows say; raise ValueError if they cannot be read."""
+        """Convert the rows.
+
+        Raises ValueError, KeyError or IndexError if a row is malformed.
+        """
         active = tuple(
             ActiveRun(task_name(str(row[0])), RunNumber(int(row[1])), int(row[3]))
             for row in self.running
--- a/src/brasstray/platform/minion_listing.py
+++ b/src/brasstray/platform/minion_listing.py
@@ -22,14 +22,14 @@
 SERVERS_PREFIX = "servers/"
 _DRAINING = {"ready": False, "draining": True}
 _Amount = Annotated[int, msgspec.Meta(ge=0)]
-# What nobody's minion takes to warm up; a figure beyond it would not be one.
+# No minion takes this long to warm up; larger values are invalid and are capped.
 LONGEST_COLD_MS = 600_000
-# An id is sent as a header to the minion, so nothing may be in it that ends one.
+# The id is sent to the minion in a header, so it must hold no line break or space.
 _ID = re.compile(r"[!-~]{1,200}")
 
 
 class CapacityBody(Body, frozen=True, kw_only=True):
-    """Hold a minion's resources; `cpu` counts thousandths of a core."""
+    """Hold a minion's resources; `cpu` is in thousandths of a core."""
 
     cpu: _Amount
     mem_mb: _Amount
@@ -37,9 +37,9 @@
 
 
 class ServerBody(Body, frozen=True, kw_only=True):
-    """Describe a minion; its id is the key's last part only.
+    """Describe a minion; its id is the last part of the entry's key.
 
-    `cold_left_ms` counts from when the entry was written.
+    `cold_left_ms` is the remaining warm-up time when the entry was written.
     """
 
     service: str
@@ -52,7 +52,7 @@
 
 
 class MinionListing:
-    """Read the entries that minions write under their ids."""
+    """Read the entries that minions write to the store under their ids."""
 
     def __init__(
         self, store: PlatformStore, ignored: Callable[[str, str], None]
@@ -63,9 +63,8 @@
     async def minions(self, data_centre: DataCentreName) -> list[MinionEntry]:
         """Return the minions listed in `data_centre`, of all services.
 
-        Guards against entries of another writer, with fields that are missing or of
-        another type, or an unknown state: such an entry names no minion to use, and
-        whoever else is listed must not be lost with it.
+        Entries with missing or mistyped fields or an unknown state, as other programs
+        may write, are reported as ignored, so that the remaining minions stay usable.
         """
         found = await self._store.snapshot(SERVERS_PREFIX)
         entries = []
@@ -78,17 +77,19 @@
 
 
 def minion_entry(entry: StoreEntry) -> MinionEntry:
-    """Return the minion that `entry` names; raise UnreadableBodyError if none."""
+    """Decode the minion in `entry`; raise UnreadableBodyError if it is invalid."""
     name = entry.name.removeprefix(SERVERS_PREFIX)
     if not _ID.fullmatch(name):
-        raise UnreadableBodyError(f"no id: {name!r}")
+        raise UnreadableBodyError(f"invalid minion id {name!r}")
     body = ServerBody.decode_strictly(entry.value)
     if body.state not in _DRAINING:
         raise UnreadableBodyError(f"unknown state {body.state!r}")
     try:
         endpoint = parse_endpoint(body.address)
     except ValueError as error:
-        raise UnreadableBodyError(f"address {body.address!r}: {error}") from error
+        raise UnreadableBodyError(
+            f"invalid address {body.address!r}: expected {error}"
+        ) from error
     return MinionEntry(
         MinionId(name),
         ServiceName(body.service),
--- a/src/brasstray/platform/operator_entries.py
+++ b/src/brasstray/platform/operator_entries.py
@@ -1,4 +1,4 @@
-"""Read what operators write into the platform's store."""
+"""Read the entries that operators write to the platform's store."""
 
 from __future__ import annotations
 
@@ -23,15 +23,15 @@
 
 
 class EvacuateBody(Body, frozen=True, kw_only=True):
-    """Ask that the data centre that the key names gets nothing new; no fields yet."""
+    """Request that the data centre named by the key get no new tasks; no fields yet."""
 
 
 class OperatorStore:
-    """Read and watch all that operators write with one call.
+    """Read and watch all entries of the operators with a single watch.
 
-    One watch more for each host and kind of entry would be a third more calls to the
-    store. A change of one key brings that key alone, so that the configuration does not
-    travel again with another.
+    A watch for each kind of entry would cause a third more calls to the store. A change
+    returns only the keys that changed, so the configuration is not sent again when
+    another entry changes.
     """
 
     def __init__(
@@ -41,17 +41,17 @@
         self._ignored = ignored
 
     async def read(self) -> OperatorEntries:
-        """Return everything."""
+        """Return all current entries."""
         found = await self._store.snapshot(OPERATOR_PREFIX)
         return self._entries(found.entries, (), found.as_of)
 
     async def wait(self, after: int, wait: timedelta) -> OperatorEntries:
-        """Return the next changes after a version, or none after `wait`."""
+        """Return the changes after version `after`, or none once `wait` has passed."""
         changes = await self._store.watch(OPERATOR_PREFIX, after, wait)
         return self._entries(changes.written, changes.removed, changes.as_of)
 
     def parse(self, text: bytes) -> Configuration:
-        """Return the configuration in `text`."""
+        """Decode a configuration; raise UnreadableConfigError if it is invalid."""
         return parse_configuration(text)
 
     def _entries(
@@ -74,9 +74,10 @@
         )
 
     def _evacuated(self, written: tuple[StoreEntry, ...]) -> Iterable[DataCentreName]:
-        """Return the data centres in `written`, without what cannot be read.
+        """Return the evacuated data centres in `written`.
 
-        An entry of another writer must hide neither the others nor a configuration.
+        Invalid entries, as other programs may write, are reported as ignored, so that
+        they hide neither the other entries nor a configuration.
         """
         for entry in filter(lambda entry: _is_evacuation(entry.name), written):
             try:
--- a/src/brasstray/platform/platform_minions.py
+++ b/src/brasstray/platform/platform_minions.py
@@ -1,4 +1,4 @@
-"""Call the platform's minions."""
+"""Call the platform's minions over HTTP."""
 
 from __future__ import annotations
 
@@ -34,7 +34,8 @@
     from brasstray.pool.minion_entry import MinionEntry
     from brasstray.pool.probe_reply import ProbeReply
 
-# Enough for the waiting look and the starts of a burst; more are closed when idle.
+# Enough for the waiting hold call and a burst of starts; further idle connections
+# are closed.
 IDLE_CONNECTIONS = 6
 _REFUSALS = {
     "old": StartRefusal.STALE_RUN,
@@ -44,7 +45,7 @@
 
 
 class PlatformMinions:
-    """Keep connections to each minion that is called."""
+    """Call minions over a pool of connections to each."""
 
     def __init__(self) -> None:
         self._connections: dict[MinionId, Connections] = {}
@@ -58,7 +59,10 @@
         wait: timedelta,
         timeout: timedelta,
     ) -> ProbeReply:
-        """Extend the lease of all runs, and wait up to `wait` for one to end."""
+        """Report the runs of a minion, waiting up to `wait` for one to end.
+
+        Extends the lease of all its runs to `until_ms`, unless that is None.
+        """
         body = HoldBody(
             fencing_token=token,
             last_seen=acknowledged,
@@ -71,7 +75,7 @@
         try:
             return HoldReply.decode(response.content).probe_reply()
         except (UnreadableBodyError, ValueError, KeyError, IndexError) as error:
-            raise MinionSilentError(f"unreadable answer: {error!r}") from error
+            raise MinionSilentError(f"invalid response body: {error!r}") from error
 
     async def start(
         self,
@@ -83,7 +87,7 @@
         until_ms: int,
         timeout: timedelta,
     ) -> int:
-        """Start a run and return the minion's clock, in milliseconds."""
+        """Start a run and return the minion's clock in milliseconds."""
         body = StartBody(
             task=task_text(task),
             run=run,
@@ -111,14 +115,14 @@
         run: RunNumber,
         timeout: timedelta,
     ) -> None:
-        """Stop a run, or have it rejected if it arrives later."""
+        """Stop a run, or make the minion reject it if its start arrives later."""
         body = StopBody(task=task_text(task), run=run, fencing_token=token)
         response = await self._call(minion, "/-/run-stop", body, timeout)
         if response.status != 200:
             raise MinionSilentError(f"status {response.status}")
 
     async def forget(self, minion: MinionEntry) -> None:
-        """Close the connections to a minion that has gone."""
+        """Close the connections to a minion that is no longer listed."""
         connections = self._connections.pop(minion.id, None)
         if connections is not None:
             await connections.aclose()
@@ -148,7 +152,7 @@
     try:
         return Reply.decode(response.content)
     except UnreadableBodyError as error:
-        raise MinionSilentError(f"unreadable answer: {error}") from error
+        raise MinionSilentError(f"invalid response body: {error}") from error
 
 
 __all__ = ["PlatformMinions"]
--- a/src/brasstray/platform/platform_store.py
+++ b/src/brasstray/platform/platform_store.py
@@ -1,4 +1,4 @@
-"""Call the platform's key-value store."""
+"""Call the platform's key-value store over HTTP."""
 
 from __future__ import annotations
 
@@ -32,23 +32,23 @@
 
     _B = TypeVar("_B", bound=Body)
 
-# The store answers in 4 ms; a slow one takes 50 times as long and more. A call that
-# a silent store swallowed never returns.
+# The store usually answers in 4 ms; when slow, it takes 50 times as long or longer. A
+# store that has stopped responding never answers, so each call needs a timeout.
 CALL_TIMEOUT = timedelta(milliseconds=800)
-# What a waiting watch may take beyond its wait.
+# Added to the wait of a watch for the call itself.
 WATCH_MARGIN = timedelta(milliseconds=400)
 IDLE_CONNECTIONS = 3
 _MILLISECOND = timedelta(milliseconds=1)
 
 
 class PlatformStore:
-    """Read, write and watch keys; a lost answer counts as unavailable."""
+    """Read, write and watch keys; raise StoreUnavailableError without a response."""
 
     def __init__(self, address: str, port: int) -> None:
         self._connections = Connections(address, port, IDLE_CONNECTIONS)
 
     def move(self, address: str, port: int) -> None:
-        """Call the store at another address from now on."""
+        """Send all further calls to another address."""
         self._connections = Connections(address, port, IDLE_CONNECTIONS)
 
     async def get(self, name: str) -> StoreEntry | None:
@@ -60,7 +60,10 @@
         return _decode(Item, response).entry()
 
     async def swap(self, name: str, value: bytes, expected: int) -> int:
-        """Write `value` if the version is `expected`; return the new version."""
+        """Write `value` if the revision is `expected`, and return the new revision.
+
+        Raises StoreConflictError if the revision is another.
+        """
         content = swap_body(name, value, expected)
         response = await self._call("POST", "/-/kv-txn", content)
         if response.status == 412:
@@ -68,7 +71,7 @@
         return _decode(Committed, response).revision
 
     async def scan(self, prefix: str, after: str = "") -> list[StoreEntry]:
-        """Return a page of entries under `prefix` named beyond `after`, in order."""
+        """Return a sorted page of entries under `prefix`, with names after `after`."""
         page = await self._page(prefix, after)
         return [item.entry() for item in page.items]
 
@@ -82,8 +85,8 @@
         as_of, after = None, ""
         while True:
             page = await self._page(prefix, after)
-            # Guards against a change between two pages: watching goes on from the
-            # first page, so that no change after it is missed.
+            # Keep the revision of the first page: a watch from there also reports the
+            # changes made between two pages.
             as_of = page.as_of if as_of is None else as_of
             entries.extend(item.entry() for item in page.items)
             if not page.has_more or not page.items:
@@ -91,7 +94,11 @@
             after = page.items[-1].key
 
     async def watch(self, prefix: str, after: int, wait: timedelta) -> Changes:
-        """Return the changes under `prefix` after a version, or none after `wait`."""
+        """Return the changes under `prefix` since revision `after`.
+
+        Returns none once `wait` has passed, and raises HistoryLostError if the store no
+        longer holds the changes since `after`.
+        """
         query = {"Prefix": prefix, "After": after, "WaitMs": wait // _MILLISECOND}
         target = f"/-/kv-watch?{urlencode(query)}"
         response = await self._call("GET", target, timeout=wait + WATCH_MARGIN)
@@ -119,7 +126,9 @@
         try:
             response = await self._connections.call(method, target, content, timeout)
         except TimeoutError as error:
-            raise StoreUnavailableError(f"{what}: no answer") from error
+            raise StoreUnavailableError(
+                f"{what}: no response before the timeout"
+            ) from error
         except HttpCallError as error:
             raise StoreUnavailableError(f"{what}: {error!r}") from error
         if response.status not in (200, 404, 410, 412):
@@ -133,7 +142,7 @@
     try:
         return kind.decode(response.content)
     except UnreadableBodyError as error:
-        raise StoreUnavailableError(f"unreadable answer: {error}") from error
+        raise StoreUnavailableError(f"invalid response body: {error}") from error
 
 
 __all__ = ["PlatformStore"]
--- a/src/brasstray/platform/ready_app.py
+++ b/src/brasstray/platform/ready_app.py
@@ -1,4 +1,4 @@
-"""Tell the platform whether callers should be sent to this host."""
+"""Serve the readiness check, by which the platform routes callers to this host."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class ReadyApp:
-    """Answer 200 while this host takes callers, and 503 otherwise."""
+    """Answer 200 while this host accepts jobs, and 503 otherwise."""
 
     def __init__(self, host: PoolHost) -> None:
         self._host = host
--- a/src/brasstray/platform/store_bodies.py
+++ b/src/brasstray/platform/store_bodies.py
@@ -1,4 +1,4 @@
-"""Describe the bodies of the store's calls."""
+"""Define the request and response bodies of the store's HTTP interface."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Item(Body, frozen=True, kw_only=True):
-    """Hold a key and its value in base64; `removed` marks an event of removal."""
+    """Hold a key and its value in base64; `removed` marks a deletion event."""
 
     key: str
     value: str = ""
@@ -20,10 +20,10 @@
     removed: bool = False
 
     def entry(self) -> StoreEntry:
-        """Return the item as an entry; a value that is no base64 counts as empty.
+        """Convert to an entry, with an empty value if it is not valid base64.
 
-        Guards against one such value hiding all other entries of its page: nothing
-        that hosts look for is empty, so that it is told of as unreadable.
+        An exception would hide all other entries of the page. No entry that hosts read
+        may be empty, so an empty value is reported as unreadable later.
         """
         try:
             value = b64decode(self.value)
@@ -33,7 +33,7 @@
 
 
 class Page(Body, frozen=True, kw_only=True):
-    """Hold a page of items; the next begins after the last key."""
+    """Hold a page of items; the next page begins after the last key."""
 
     items: list[Item] = msgspec.field(default_factory=list, name="items")
     has_more: bool = False
@@ -41,16 +41,16 @@
 
 
 class Events(Body, frozen=True, kw_only=True):
-    """Hold the changes under a prefix, and the revision to go on from."""
+    """Hold the changes under a prefix, and the revision to watch from next."""
 
     events: list[Item] = msgspec.field(default_factory=list, name="events")
     as_of: int
 
     def changes(self) -> Changes:
-        """Return what the events come to: only the last one of each key counts.
+        """Convert the events, keeping the last one of each key.
 
-        Guards against a key that was removed and written again, or the other way
-        round, within one answer: it would be told as both, in no order.
+        A key that was deleted and written again within one response, or the reverse,
+        would otherwise be both written and removed, in an unknown order.
         """
         latest = {item.key: item for item in self.events}.values()
         return Changes(
@@ -61,21 +61,21 @@
 
 
 class Expectation(Body, frozen=True, kw_only=True):
-    """Name the revision at which a key must be; 0 means that there is none."""
+    """Require a key to be at a revision; 0 requires that it does not exist."""
 
     key: str
     revision: int
 
 
 class Write(Body, frozen=True, kw_only=True):
-    """Name a key and its new value in base64."""
+    """Hold a key and its new value in base64."""
 
     key: str
     value: str
 
 
 class Transaction(Body, frozen=True, kw_only=True):
-    """Write and delete if all expectations hold."""
+    """Write and delete keys atomically if all expectations hold."""
 
     expect: list[Expectation] = msgspec.field(default_factory=list)
     writes: list[Write] = msgspec.field(default_factory=list)
@@ -83,13 +83,13 @@
 
 
 class Committed(Body, frozen=True, kw_only=True):
-    """Hold the revision that a transaction made."""
+    """Hold the revision that a transaction created."""
 
     revision: int
 
 
 def swap_body(name: str, value: bytes, expected: int) -> bytes:
-    """Return the transaction that writes `value` if the revision is `expected`."""
+    """Encode a transaction that writes `value` if the revision is `expected`."""
     return Transaction(
         expect=[Expectation(key=name, revision=expected)],
         writes=[Write(key=name, value=b64encode(value).decode())],
--- a/src/brasstray/platform/task_text.py
+++ b/src/brasstray/platform/task_text.py
@@ -1,21 +1,21 @@
-"""Spell the names of tasks as minions do."""
+"""Format and parse task names as minions use them."""
 
 from __future__ import annotations
 
 from brasstray.batch.ids import BatchId
 from brasstray.batch.task_name import TaskName
 
-# Jobs that repeat by a schedule number their occurrences; all others have one.
+# Jobs that repeat on a schedule number their occurrences; other jobs have this one.
 ONLY_OCCURRENCE = 0
 
 
 def task_text(task: TaskName) -> str:
-    """Return the wire's name of `task`."""
+    """Format a task name as batch.occurrence.step.index."""
     return f"{task.batch}.{ONLY_OCCURRENCE}.{task.step}.{task.index}"
 
 
 def task_name(text: str) -> TaskName:
-    """Return the task called `text`; raise ValueError if it is no task's name."""
+    """Parse a task name; raise ValueError if it is malformed."""
     batch, _, step, index = text.split(".")
     return TaskName(BatchId(batch), int(step), int(index))
 
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -1,4 +1,4 @@
-"""Check that the platform's formats are decoded into the project's types."""
+"""Test the conversion of the platform's formats to the project's types."""
 
 from __future__ import annotations
 
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -1,4 +1,4 @@
-"""Feed arbitrary bytes and JSON to every decoder of the platform's formats."""
+"""Fuzz the decoders of the platform's formats with arbitrary bytes and JSON."""
 
 from __future__ import annotations
 
@@ -132,9 +132,9 @@
     ],
 )
 def test_an_entry_of_another_writer_names_no_minion(changes):
-    # Another program writes into the list of minions. If its entry were taken for a
-    # minion, tasks would be sent to something that does not run them; if it were an
-    # error of the whole list, no other minion would be found any more.
+    # Other programs may write entries among those of the minions. Accepting one would
+    # send tasks to something that cannot run them; failing the whole listing would make
+    # all other minions unknown.
     with pytest.raises(UnreadableBodyError, match=r"\w"):
         minion_entry(entry(json.dumps(SERVER | changes).encode()))
     with pytest.raises(UnreadableBodyError):
--- a/tests/platform/test_operator_entries.py
+++ b/tests/platform/test_operator_entries.py
@@ -1,4 +1,4 @@
-"""Check what is read of the operators' entries."""
+"""Test the decoding of the operators' entries in the store."""
 
 from __future__ import annotations
 
@@ -60,8 +60,8 @@
 
 @pytest.mark.parametrize("value", [b"", b"[", b"3", b"null", b"\xff", b"[]"])
 def test_an_entry_that_cannot_be_read_hides_no_other(value):
-    # Another program writes under the operators' names. Nobody asked for that data
-    # centre to be emptied, and one that an operator did ask for must still be seen.
+    # Other programs may write entries under the operators' prefix. An invalid entry
+    # must not evacuate its data centre, nor hide the evacuation of another one.
     found, ignored = read([("op/evacuate/a", value), ("op/evacuate/b", b"{}")])
     assert found.evacuated == {"b"}
     assert ignored == ["op/evacuate/a"]
@@ -83,9 +83,10 @@
     ],
 )
 def test_the_last_event_of_a_key_counts(events, written, removed):
-    # An operator empties a data centre, takes it back and empties it again, while a
-    # host's watch is away. Both changes come in one answer: told as written and removed
-    # at once, the data centre would be used while the operator believes it to be empty.
+    # An operator evacuates a data centre, resumes it and evacuates it again between two
+    # watch calls of a host, so that one response holds all changes. If the key counted
+    # as both written and removed, the host could use a data centre that the operator
+    # believes to be evacuated.
     items = [
         Item(key="k", revision=number, removed=event == "gone")
         for number, event in enumerate(events.split())
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -1,4 +1,4 @@
-"""Serve jobs by real processes over the platform's calls, against stand-ins."""
+"""Test real host processes against a stand-in store and stand-in minions."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 class Platform:
-    """Run a store and minions in a thread of their own."""
+    """Run a stand-in store and stand-in minions in a separate thread."""
 
     def __init__(self, minions=2):
         self.ports = free_ports(1 + minions)
