--- a/src/brasstray/settings/__init__.py
+++ b/src/brasstray/settings/__init__.py
@@ -1,1 +1,1 @@
-"""Read and check the settings."""
+"""Read and validate the settings files of both daemons."""
--- a/src/brasstray/settings/check.py
+++ b/src/brasstray/settings/check.py
@@ -1,4 +1,4 @@
-"""Check a settings file of either daemon."""
+"""Validate a settings file of either daemon."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class DaemonKind(Enum):
-    """Tell whose settings a file holds."""
+    """Name the daemon that a settings file is for."""
 
     ENTRY_HOST = "an entry host of the own interface"
     POOL_HOST = "a host of the platform"
@@ -29,13 +29,13 @@
 
 @dataclass(frozen=True)
 class CheckedSettings:
-    """Hold whose settings a file was read as, and what is wrong with them."""
+    """Hold the daemon that a settings file is for, and the problems found in it."""
 
     daemon: DaemonKind
     problems: tuple[SettingsProblem, ...]
 
     def as_json(self) -> dict[str, object]:
-        """Return what was found, for programs."""
+        """Convert to a JSON object."""
         return {
             "daemon": self.daemon.name.lower(),
             "problems": [
@@ -46,7 +46,7 @@
 
 
 def settings_problems(path: Path) -> CheckedSettings:
-    """Return every problem of the file; its sections tell which daemon it is for."""
+    """Validate a file; the names of its sections tell which daemon it is for."""
     if _is_for_pool_host(path):
         return _checked(DaemonKind.POOL_HOST, read_pool_settings(path))
     return _checked(DaemonKind.ENTRY_HOST, read_settings(path))
@@ -57,7 +57,7 @@
     try:
         parser.read(path, encoding="utf-8")
     except (UnicodeDecodeError, ConfigParserError):
-        # Whoever reads the file next says what is wrong with it.
+        # The full reader, which runs next, reports the same error as a problem.
         return False
     return any(parser.has_section(name) for name in POOL_SECTIONS)
 
--- a/src/brasstray/settings/endpoint.py
+++ b/src/brasstray/settings/endpoint.py
@@ -1,4 +1,4 @@
-"""Describe where something listens."""
+"""Define and parse network endpoints."""
 
 from __future__ import annotations
 
@@ -19,7 +19,7 @@
 
 
 def parse_endpoint(text: str) -> Endpoint:
-    """Return what `text` names; raise ValueError if it is no address and port."""
+    """Parse an address and port; raise ValueError, which names the expected form."""
     match = re.fullmatch(r"(.+):(\d{1,5})", text)
     if match is None or int(match[2]) > LARGEST_PORT:
         raise ValueError(_EXPECTED)
--- a/src/brasstray/settings/pool_settings.py
+++ b/src/brasstray/settings/pool_settings.py
@@ -1,4 +1,4 @@
-"""Read the settings of a host that runs jobs on pools of minions."""
+"""Read the settings of a host of the platform, which runs jobs on minion pools."""
 
 from __future__ import annotations
 
@@ -23,10 +23,10 @@
 
 
 class HostSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Say who the host is and where it listens.
+    """Define the host's identity and the endpoints that it listens on.
 
-    `data_centres` names all of them, separated by commas: operators can evacuate no
-    other. Without it every name is taken for one.
+    `data_centres` is the comma-separated list of all data centres; operators can
+    evacuate only these. If it is empty, any name is accepted.
     """
 
     name: Name
@@ -39,22 +39,22 @@
 
     @property
     def known_centres(self) -> frozenset[DataCentreName]:
-        """Return the names in `data_centres`."""
+        """Return the set of names in `data_centres`."""
         names = (name.strip() for name in self.data_centres.split(","))
         return frozenset(DataCentreName(name) for name in names if name)
 
 
 class StoreSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Say where the platform's store is."""
+    """Define the endpoint of the platform's store."""
 
     address: Endpoint
 
 
 class MinionsSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how minions behave.
+    """Describe the behaviour of minions.
 
-    `lease_ms` is the longest lease that they grant, `stop_ms` how long a stop takes,
-    `remote_factor` how many times as long a task takes away from its data.
+    `lease_ms` is the longest lease that they grant, and `stop_ms` how long stopping a
+    run may take. A task away from its data runs `remote_factor` times as long.
     """
 
     lease_ms: Annotated[int, msgspec.Meta(ge=200, le=60_000)] = 1_000
@@ -63,9 +63,9 @@
 
 
 class ProcessorSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Say what processor the host has: its share of a core, and the core's speed.
+    """Describe the host's processor: its share of a core, and the core's speed.
 
-    Only the ratio to other hosts counts: the strongest own the pools.
+    Only the ratio to other hosts matters: the most powerful hosts own the pools.
     """
 
     share: Annotated[float, msgspec.Meta(gt=0.0, le=1_024.0)] = 1.0
@@ -73,19 +73,19 @@
 
     @property
     def power(self) -> float:
-        """Return how much work the host does in a time."""
+        """Return the relative processing power of the host."""
         return self.share * self.speed
 
 
 class StopSection(msgspec.Struct, frozen=True, kw_only=True):
-    """Say how long a host may take to leave, in seconds, once it is told to."""
+    """Define how long a host may take to exit after a stop signal, in seconds."""
 
     grace_seconds: Annotated[float, msgspec.Meta(ge=1.0, le=3_600.0)] = 6.0
 
 
 @dataclass(frozen=True)
 class PoolSettings:
-    """Hold all sections."""
+    """Hold the validated sections."""
 
     host: HostSection
     store: StoreSection
@@ -104,13 +104,15 @@
 
 
 def read_pool_settings(path: Path) -> Result[PoolSettings, list[SettingsProblem]]:
-    """Return the settings in `path`, or every problem that they have."""
+    """Read the settings in `path`, or return all problems found in them."""
     parser = ConfigParser(interpolation=None)
     try:
         with path.open(encoding="utf-8") as file:
             parser.read_file(file)
     except (OSError, UnicodeDecodeError, ConfigParserError) as error:
-        return Err([SettingsProblem(str(path), "file", f"readable INI: {error}")])
+        return Err(
+            [SettingsProblem(str(path), "file", f"a readable INI file: {error}")]
+        )
     problems: list[SettingsProblem] = []
     sections = {
         name: read_struct(parser, name, kind, problems)
--- a/src/brasstray/settings/problem.py
+++ b/src/brasstray/settings/problem.py
@@ -1,4 +1,4 @@
-"""Describe one wrong line of the settings."""
+"""Define the problems reported for invalid settings."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 @dataclass(frozen=True)
 class SettingsProblem:
-    """Name a section and key, and say what was expected there."""
+    """Describe an invalid setting by section, key and expected value."""
 
     section: str
     key: str
--- a/src/brasstray/settings/sections.py
+++ b/src/brasstray/settings/sections.py
@@ -1,4 +1,4 @@
-"""Describe the sections of the settings file."""
+"""Define the sections of an entry host's settings file."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class EntrySection(_Section):
-    """Say who this entry host is and where it listens."""
+    """Define the entry host's identity and the endpoints that it listens on."""
 
     data_centre: Name
     host: Name
@@ -41,14 +41,14 @@
 
 
 class PlatformSection(_Section):
-    """Say where the platform is reached."""
+    """Define the platform's endpoint and the timeout of calls to it."""
 
     address: EndpointText
     timeout_ms: int = Field(default=1_000, ge=10, le=60_000)
 
 
 class LimitsSection(_Section):
-    """Bound what this entry host takes on."""
+    """Limit the load, retention and timeouts of this entry host."""
 
     max_jobs: int = Field(default=2_000, ge=1, le=100_000)
     key_lifetime_minutes: int = Field(default=240, ge=1, le=1_440)
@@ -58,14 +58,14 @@
 
 
 class JournalSection(_Section):
-    """Bound what a leader asks of the platform."""
+    """Limit the rate of a leader's writes to the platform's store."""
 
     writes_per_second: int = Field(default=50, ge=1, le=1_000)
     write_burst: int = Field(default=10, ge=1, le=1_000)
 
 
 class ServiceSection(_Section):
-    """Describe a service."""
+    """Describe a service; only jobs of `repeatable` services may be repeatable."""
 
     repeatable: bool = False
 
--- a/src/brasstray/settings/settings.py
+++ b/src/brasstray/settings/settings.py
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class Settings:
-    """Hold every section, checked."""
+    """Hold the validated sections."""
 
     entry: EntrySection
     platform: PlatformSection
@@ -51,7 +51,7 @@
     services: dict[ServiceName, ServiceSection]
 
     def entry_config(self, random: Random) -> EntryConfig:
-        """Return what the entry host is told about itself, as a new incarnation."""
+        """Build the configuration of an entry host, with a new incarnation."""
         centre = DataCentreName(self.entry.data_centre)
         host = HostName(self.entry.host)
         second = timedelta(seconds=1)
@@ -83,7 +83,7 @@
 
 
 def read_settings(path: Path) -> Result[Settings, list[SettingsProblem]]:
-    """Return the settings in `path`, or every problem that they have."""
+    """Read the settings in `path`, or return all problems found in them."""
     parser = ConfigParser(interpolation=None)
     try:
         with path.open(encoding="utf-8") as file:
@@ -127,7 +127,7 @@
 def read_section(
     parser: ConfigParser, name: str, kind: type[_S], problems: list[SettingsProblem]
 ) -> _S | None:
-    """Return the section called `name`, or None after adding its problems."""
+    """Read the section `name`; if it is invalid, add its problems and return None."""
     values = dict(parser[name]) if parser.has_section(name) else {}
     try:
         return kind.model_validate(values)
--- a/src/brasstray/settings/struct_section.py
+++ b/src/brasstray/settings/struct_section.py
@@ -1,4 +1,4 @@
-"""Read a section of the settings into a structure, key by key."""
+"""Read a section of a settings file into a msgspec struct."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 def read_struct(
     parser: ConfigParser, name: str, kind: type[_S], problems: list[SettingsProblem]
 ) -> _S | None:
-    """Return the section called `name`, or None after adding all its problems."""
+    """Read the section `name`; if it is invalid, add its problems and return None."""
     texts = dict(parser[name]) if parser.has_section(name) else {}
     values: dict[str, Any] = {}
     before = len(problems)
--- a/tests/settings/test_check.py
+++ b/tests/settings/test_check.py
@@ -1,4 +1,4 @@
-"""Check that a settings file of either daemon is told apart and checked."""
+"""Test the validation of settings files of both daemons."""
 
 from __future__ import annotations
 
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_settings.py
@@ -1,4 +1,4 @@
-"""Check that wrong settings are named by section, key and expectation."""
+"""Test that invalid settings are reported by section, key and expected value."""
 
 from __future__ import annotations
 
@@ -56,7 +56,7 @@
     sections = {**GOOD, section: {**GOOD.get(section, {}), key: value}}
     match read_settings(write(tmp_path / "a.ini", sections)):
         case Ok(_):
-            raise AssertionError("taken as good")
+            raise AssertionError("invalid settings accepted")
         case Err([problem]):
             assert problem.section == section
             assert problem.key in (key, "section")
