--- a/src/brasstray/daemon/__init__.py
+++ b/src/brasstray/daemon/__init__.py
@@ -1,1 +1,1 @@
-"""Run an entry host as a process."""
+"""Run an entry host or a host of the platform as a process."""
--- a/src/brasstray/daemon/daemon.py
+++ b/src/brasstray/daemon/daemon.py
@@ -1,4 +1,4 @@
-"""Run one entry host with real sockets."""
+"""Run an entry host on real sockets."""
 
 from __future__ import annotations
 
@@ -30,7 +30,7 @@
 
 
 class Daemon:
-    """Own an entry host, its listeners and its connections."""
+    """Run an entry host and manage its listeners and connections."""
 
     def __init__(
         self,
@@ -52,7 +52,7 @@
 
     @property
     def host(self) -> EntryHost | None:
-        """Return the entry host, once `run` has begun."""
+        """Return the entry host, or None before `run` has created it."""
         return self._host
 
     async def run(self) -> None:
@@ -96,7 +96,7 @@
         return host
 
     async def drain(self) -> None:
-        """Finish what runs, within the drain limit, and end `run`."""
+        """Wait for active jobs, up to the drain timeout, and end `run`."""
         if self._host is None or self._http is None:
             return
         left = await self._host.drain()
@@ -113,7 +113,7 @@
 
 
 async def run_daemon(settings: Settings, metrics: Metrics) -> None:
-    """Run an entry host by `settings` until it is told to leave."""
+    """Run an entry host with `settings` until SIGTERM or SIGINT."""
     random = SystemRandom()
     platform = settings.platform
     daemon = Daemon(
--- a/src/brasstray/daemon/main.py
+++ b/src/brasstray/daemon/main.py
@@ -1,4 +1,4 @@
-"""Start the daemon from the command line."""
+"""Define the command line of an entry host's daemon, brasstrayd."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 def run(
     settings: Annotated[Path, typer.Option(help="The INI file with the settings.")],
 ) -> None:
-    """Serve as an entry host until SIGTERM; then finish what runs and leave."""
+    """Serve as an entry host until SIGTERM; then finish active jobs and exit."""
     match read_settings(settings):
         case Err(problems):
             for problem in problems:
@@ -43,7 +43,7 @@
 
 
 def main() -> None:
-    """Run the program."""
+    """Run the command-line program."""
     typer.run(run)
 
 
--- a/src/brasstray/daemon/pool_daemon.py
+++ b/src/brasstray/daemon/pool_daemon.py
@@ -1,4 +1,4 @@
-"""Run one host of the platform with real sockets."""
+"""Run a host of the platform on real sockets."""
 
 from __future__ import annotations
 
@@ -45,22 +45,22 @@
     from brasstray.settings.pool_settings import MinionsSection, PoolSettings
 
 STANDARD_OUTPUT = 1
-# A changed file is in force as soon as a changed configuration must be, 2 s.
+# A changed file takes effect within 2 s, as is required of a changed configuration.
 RELOAD_INTERVAL = timedelta(seconds=1)
-# How long callers go on coming after this host has said that it is not ready: the
-# platform asks once a second and takes a host out after two misses.
+# How long new requests may still arrive after this host has reported that it is not
+# ready: the platform checks once a second and removes a host after two failed checks.
 ROTATION_TIME = timedelta(seconds=2.5)
-# The share of the longest lease that is asked for: a longer one is cut to the bound,
-# and would be reckoned to end later than it does.
+# The fraction of the longest lease that is requested. Minions cut a longer lease to
+# their maximum, and the host would then assume that it ends later than it does.
 LEASE_SHARE = 0.8
-# A stop is waited for this many times as long as it may take: there is the way as well.
+# How many times the minions' stop time a stop is waited for, to cover network latency.
 STOP_MARGIN = 1.2
-# What is left of the grace period when this host stops waiting for its jobs.
+# What remains of the grace period for the exit itself, after waiting for jobs.
 EXIT_MARGIN = timedelta(seconds=0.7)
 
 
 class PoolDaemon:
-    """Own a host, its listeners and its connections."""
+    """Run a host and manage its listeners and connections."""
 
     def __init__(
         self,
@@ -148,23 +148,23 @@
                 self.reload()
 
     async def _reload_on_change(self) -> None:
-        """Reread the settings where their text has changed without a signal."""
+        """Reload the settings when the file has changed, without a signal."""
         known = b""
         while True:
             await self._clock.sleep(RELOAD_INTERVAL)
             try:
                 text = self._path.read_bytes()
             except OSError:
-                # The reader of the settings meets the same error and reports it.
+                # read_pool_settings gets the same error and reports it.
                 text = b""
             if text != known:
                 known = text
                 self.reload()
 
     def reload(self) -> None:
-        """Put changed settings in force; keep the old ones if the new are not valid.
+        """Apply changed settings, or keep the old ones if the new ones are invalid.
 
-        Names and listeners stay as they are until the next start.
+        Changed names and listeners take effect at the next start.
         """
         match read_pool_settings(self._path):
             case Err(problems):
@@ -184,7 +184,7 @@
 
     @property
     def _busy(self) -> bool:
-        """Tell whether callers wait here, or minions have nobody else to order them."""
+        """Return whether jobs are active here, or minions have no other owner yet."""
         return bool(self._host.coordinator.active) or self._host.owner is not None
 
     async def _drain_on_signal(self) -> None:
@@ -202,7 +202,7 @@
 
 
 def pool_timing(minions: MinionsSection) -> PoolTiming:
-    """Return the intervals that fit what minions grant and how fast they stop."""
+    """Derive the lease and stop intervals from the settings of the minions."""
     millisecond = timedelta(milliseconds=1)
     return PoolTiming(
         lease=minions.lease_ms * millisecond * LEASE_SHARE,
@@ -212,7 +212,7 @@
 
 
 def uptime() -> timedelta:
-    """Return a steady time that goes on while the machine is suspended."""
+    """Return the monotonic time since boot, including time in suspend."""
     return timedelta(seconds=time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
--- a/src/brasstray/daemon/pool_main.py
+++ b/src/brasstray/daemon/pool_main.py
@@ -1,4 +1,4 @@
-"""Start a host of the platform."""
+"""Start the daemon of a host of the platform."""
 
 from __future__ import annotations
 
--- a/tests/daemon/test_imports.py
+++ b/tests/daemon/test_imports.py
@@ -1,4 +1,4 @@
-"""Check that nothing is left to be imported while a host serves."""
+"""Test that a host imports no further modules once it serves requests."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 
 
 def test_a_host_has_all_it_needs_before_it_is_asked_for_its_status():
-    # Seen: two hosts, asked one after the other, both said that they own the pool.
-    # The first request for a host's status loaded pydantic and built models, 0.1 s of
-    # processor time on the host's loop and 0.5 s beside twelve busy processes. The
-    # owner was silent for longer than 0.4 s, so the other host took its pool.
-    # Proved by: what the first request still loads, in a process of its own.
+    # The first request for a host's status used to import pydantic and build models,
+    # which blocked the event loop for 0.1 s of processor time, or 0.5 s beside twelve
+    # busy processes. After 0.4 s of silence another host takes the pool over, so that
+    # two hosts reported that they own it. A separate process shows what that request
+    # still imports.
     command = [sys.executable, "-c", LOADED_LATER]
     done = subprocess.run(command, capture_output=True, text=True, check=True)
     assert done.stdout.splitlines() == ["", "False"]
--- a/tests/daemon/test_pool_daemon.py
+++ b/tests/daemon/test_pool_daemon.py
@@ -1,4 +1,4 @@
-"""Run a host as a process, with real sockets and signals, without any platform."""
+"""Test a host process on real sockets and with real signals, without a platform."""
 
 from __future__ import annotations
 
@@ -134,8 +134,8 @@
 
 
 def test_the_settings_are_read_again_at_a_signal(start):
-    # An operator changes the settings and sends SIGHUP, which ends a process that has
-    # no handler for it. Settings that are not valid change nothing.
+    # An operator changes the settings and sends SIGHUP, which terminates a process that
+    # has no handler for it. Invalid settings must change nothing.
     process = start()
     process.await_line("brasstray:started")
     text = process.path.read_text()
--- a/tests/daemon/test_pool_timing.py
+++ b/tests/daemon/test_pool_timing.py
@@ -1,4 +1,4 @@
-"""Check that the intervals follow what a platform's minions grant."""
+"""Test the intervals derived from the settings of the minions."""
 
 from __future__ import annotations
 
