--- a/src/brasstray/daemon/pool_daemon.py
+++ b/src/brasstray/daemon/pool_daemon.py
@@ -27,12 +27,12 @@
 from brasstray.job.incarnation import new_incarnation
 from brasstray.log.bounded_output import BoundedOutput
 from brasstray.peer.websocket_stream import WebSocketOpener, serve_streams
-from brasstray.platform.front_app import FrontApp
+from brasstray.platform.job_app import JobApp
+from brasstray.platform.minion_client import MinionClient
 from brasstray.platform.minion_listing import MinionListing
-from brasstray.platform.operator_entries import OperatorStore
-from brasstray.platform.platform_minions import PlatformMinions
-from brasstray.platform.platform_store import PlatformStore
+from brasstray.platform.operator_entries import OperatorEntryReader
 from brasstray.platform.ready_app import ReadyApp
+from brasstray.platform.store_client import StoreClient
 from brasstray.pool.timing import PoolTiming
 from brasstray.settings.pool_settings import read_pool_settings
 
@@ -85,7 +85,7 @@
             section.peers.port,
             settings.processor.power,
         )
-        self._store = PlatformStore(
+        self._store = StoreClient(
             settings.store.address.address, settings.store.address.port
         )
         events = EventLog(metrics)
@@ -94,9 +94,9 @@
             random,
             uptime,
             self._store,
-            OperatorStore(self._store, events.entry_ignored),
+            OperatorEntryReader(self._store, events.entry_ignored),
             MinionListing(self._store, events.entry_ignored),
-            PlatformMinions(),
+            MinionClient(),
             WebSocketOpener(),
             events,
         )
@@ -107,7 +107,7 @@
             settings.minions.remote_factor,
             section.known_centres,
         )
-        self._front = HttpServer(FrontApp(self._host))
+        self._front = HttpServer(JobApp(self._host))
         self._ready = HttpServer(ReadyApp(self._host))
         self._metrics = HttpServer(
             MetricsApp(reader, partial(current_status, self._host))
--- a/src/brasstray/platform/front_app.py
+++ b/src/brasstray/platform/job_app.py
@@ -32,7 +32,7 @@
 _STATE_OF = {BatchOutcome.SUCCEEDED: "succeeded", BatchOutcome.FAILED: "failed"}
 
 
-class FrontApp:
+class JobApp:
     """Serve the queues of the active configuration."""
 
     def __init__(self, host: PoolHost) -> None:
@@ -149,4 +149,4 @@
     )
 
 
-__all__ = ["FrontApp"]
+__all__ = ["JobApp"]
--- a/src/brasstray/platform/minion_bodies.py
+++ b/src/brasstray/platform/minion_bodies.py
@@ -6,7 +6,7 @@
 
 from brasstray.batch.ids import RunNumber
 from brasstray.platform.body import Body
-from brasstray.platform.task_text import task_name
+from brasstray.platform.task_name_format import parse_task_name
 from brasstray.pool.probe_reply import ActiveRun, EndedRun, ProbeReply, RunEnd
 
 _ENDS = {
@@ -77,13 +77,13 @@
         Raises ValueError, KeyError or IndexError if a row is malformed.
         """
         active = tuple(
-            ActiveRun(task_name(str(row[0])), RunNumber(int(row[1])), int(row[3]))
+            ActiveRun(parse_task_name(str(row[0])), RunNumber(int(row[1])), int(row[3]))
             for row in self.running
         )
         ended = tuple(
             EndedRun(
                 int(row[0]),
-                task_name(str(row[1])),
+                parse_task_name(str(row[1])),
                 RunNumber(int(row[2])),
                 _ENDS[str(row[3])],
             )
--- a/src/brasstray/platform/platform_minions.py
+++ b/src/brasstray/platform/minion_client.py
@@ -14,7 +14,7 @@
     StartBody,
     StopBody,
 )
-from brasstray.platform.task_text import task_text
+from brasstray.platform.task_name_format import format_task_name
 from brasstray.pool.errors import (
     FencedError,
     MinionGoneError,
@@ -44,7 +44,7 @@
 }
 
 
-class PlatformMinions:
+class MinionClient:
     """Call minions over a pool of connections to each."""
 
     def __init__(self) -> None:
@@ -89,7 +89,7 @@
     ) -> int:
         """Start a run and return the minion's clock in milliseconds."""
         body = StartBody(
-            task=task_text(task),
+            task=format_task_name(task),
             run=run,
             spec=spec,
             until_ms=until_ms,
@@ -116,7 +116,7 @@
         timeout: timedelta,
     ) -> None:
         """Stop a run, or make the minion reject it if its start arrives later."""
-        body = StopBody(task=task_text(task), run=run, fencing_token=token)
+        body = StopBody(task=format_task_name(task), run=run, fencing_token=token)
         response = await self._call(minion, "/-/run-stop", body, timeout)
         if response.status != 200:
             raise MinionSilentError(f"status {response.status}")
@@ -155,4 +155,4 @@
         raise MinionSilentError(f"invalid response body: {error}") from error
 
 
-__all__ = ["PlatformMinions"]
+__all__ = ["MinionClient"]
--- a/src/brasstray/platform/minion_listing.py
+++ b/src/brasstray/platform/minion_listing.py
@@ -16,7 +16,7 @@
 if TYPE_CHECKING:
     from collections.abc import Callable
 
-    from brasstray.platform.platform_store import PlatformStore
+    from brasstray.platform.store_client import StoreClient
     from brasstray.store.entry import StoreEntry
 
 SERVERS_PREFIX = "servers/"
@@ -54,9 +54,7 @@
 class MinionListing:
     """Read the entries that minions write to the store under their ids."""
 
-    def __init__(
-        self, store: PlatformStore, ignored: Callable[[str, str], None]
-    ) -> None:
+    def __init__(self, store: StoreClient, ignored: Callable[[str, str], None]) -> None:
         self._store = store
         self._ignored = ignored
 
--- a/src/brasstray/platform/operator_entries.py
+++ b/src/brasstray/platform/operator_entries.py
@@ -14,7 +14,7 @@
     from datetime import timedelta
 
     from brasstray.batch.configuration import Configuration
-    from brasstray.platform.platform_store import PlatformStore
+    from brasstray.platform.store_client import StoreClient
     from brasstray.store.entry import StoreEntry
 
 OPERATOR_PREFIX = "op/"
@@ -26,7 +26,7 @@
     """Request that the data centre named by the key get no new tasks; no fields yet."""
 
 
-class OperatorStore:
+class OperatorEntryReader:
     """Read and watch all entries of the operators with a single watch.
 
     A watch for each kind of entry would cause a third more calls to the store. A change
@@ -34,9 +34,7 @@
     another entry changes.
     """
 
-    def __init__(
-        self, store: PlatformStore, ignored: Callable[[str, str], None]
-    ) -> None:
+    def __init__(self, store: StoreClient, ignored: Callable[[str, str], None]) -> None:
         self._store = store
         self._ignored = ignored
 
@@ -96,4 +94,4 @@
     return DataCentreName(key.removeprefix(EVACUATE_PREFIX))
 
 
-__all__ = ["OperatorStore"]
+__all__ = ["OperatorEntryReader"]
--- a/src/brasstray/platform/platform_store.py
+++ b/src/brasstray/platform/store_client.py
@@ -41,7 +41,7 @@
 _MILLISECOND = timedelta(milliseconds=1)
 
 
-class PlatformStore:
+class StoreClient:
     """Read, write and watch keys; raise StoreUnavailableError without a response."""
 
     def __init__(self, address: str, port: int) -> None:
@@ -145,4 +145,4 @@
         raise StoreUnavailableError(f"invalid response body: {error}") from error
 
 
-__all__ = ["PlatformStore"]
+__all__ = ["StoreClient"]
--- a/src/brasstray/platform/task_text.py
+++ b/src/brasstray/platform/task_name_format.py
@@ -9,15 +9,15 @@
 ONLY_OCCURRENCE = 0
 
 
-def task_text(task: TaskName) -> str:
+def format_task_name(task: TaskName) -> str:
     """Format a task name as batch.occurrence.step.index."""
     return f"{task.batch}.{ONLY_OCCURRENCE}.{task.step}.{task.index}"
 
 
-def task_name(text: str) -> TaskName:
+def parse_task_name(text: str) -> TaskName:
     """Parse a task name; raise ValueError if it is malformed."""
     batch, _, step, index = text.split(".")
     return TaskName(BatchId(batch), int(step), int(index))
 
 
-__all__ = ["task_name", "task_text"]
+__all__ = ["format_task_name", "parse_task_name"]
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -17,7 +17,7 @@
     parse_job,
 )
 from brasstray.platform.minion_bodies import HoldBody, HoldReply
-from brasstray.platform.task_text import task_name, task_text
+from brasstray.platform.task_name_format import format_task_name, parse_task_name
 from brasstray.pool.probe_reply import ActiveRun, EndedRun, RunEnd
 
 JOB = "5c0e7a21d94b36f8"
@@ -106,8 +106,8 @@
 
 def test_task_names_are_spelled_as_minions_do():
     name = TaskName(BatchId(JOB), 1, 17)
-    assert task_text(name) == f"{JOB}.0.1.17"
-    assert task_name(task_text(name)) == name
+    assert format_task_name(name) == f"{JOB}.0.1.17"
+    assert parse_task_name(format_task_name(name)) == name
 
 
 def test_a_hold_leaves_out_what_it_does_not_ask_for():
--- a/tests/platform/test_operator_entries.py
+++ b/tests/platform/test_operator_entries.py
@@ -8,7 +8,7 @@
 import anyio
 import pytest
 
-from brasstray.platform.operator_entries import OperatorStore
+from brasstray.platform.operator_entries import OperatorEntryReader
 from brasstray.platform.store_bodies import Events, Item
 from brasstray.store.entry import StoreEntry
 from brasstray.store.watchable_store import Changes, Snapshot
@@ -30,7 +30,7 @@
 
 def read(written, removed=()):
     ignored = []
-    source = OperatorStore(
+    source = OperatorEntryReader(
         Store(written, removed), lambda name, why: ignored.append(name)
     )
     return anyio.run(source.wait, 3, timedelta(seconds=1)), ignored
