--- a/src/brasstray/daemon/pool_daemon.py
+++ b/src/brasstray/daemon/pool_daemon.py
@@ -174,7 +174,7 @@
             case Ok(settings) if settings != self._settings:
                 store = settings.store.address
                 if store != self._settings.store.address:
-                    self._store.move(store.address, store.port)
+                    self._store.set_address(store.address, store.port)
                 self._settings = settings
                 log_message(
                     "brasstray:settings_reloaded",
--- a/src/brasstray/platform/body.py
+++ b/src/brasstray/platform/body.py
@@ -49,8 +49,8 @@
 
 
 @cache
-def _decoder(kind: type, strict: bool) -> msgspec.json.Decoder[Any]:
-    return msgspec.json.Decoder(kind, strict=strict)
+def _decoder(body_type: type, strict: bool) -> msgspec.json.Decoder[Any]:
+    return msgspec.json.Decoder(body_type, strict=strict)
 
 
 __all__ = ["Body", "UnreadableBodyError"]
--- a/src/brasstray/platform/configuration_body.py
+++ b/src/brasstray/platform/configuration_body.py
@@ -26,7 +26,7 @@
     stretch: float = 1.0
     slo_ms: int = 0
 
-    def queue(self) -> Queue:
+    def to_queue(self) -> Queue:
         """Convert the route to a queue."""
         return Queue(
             QueueName(self.name),
@@ -69,7 +69,7 @@
         raise UnreadableConfigError(str(error)) from error
     return Configuration(
         ConfigVersion(body.version),
-        tuple(route.queue() for route in body.routes),
+        tuple(route.to_queue() for route in body.routes),
         BodyLimits(body.limits.max_body_bytes),
         text,
         frozenset(ServiceName(service.name) for service in body.services),
--- a/src/brasstray/platform/job_app.py
+++ b/src/brasstray/platform/job_app.py
@@ -28,8 +28,8 @@
 # The timeout that most callers use, assumed where a request does not state one.
 DEFAULT_TIMEOUT = timedelta(milliseconds=1_500)
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
-_CLOSE = (("connection", "close"),)
-_STATE_OF = {BatchOutcome.SUCCEEDED: "succeeded", BatchOutcome.FAILED: "failed"}
+_CLOSE_CONNECTION = (("connection", "close"),)
+_STATE_BY_OUTCOME = {BatchOutcome.SUCCEEDED: "succeeded", BatchOutcome.FAILED: "failed"}
 
 
 class JobApp:
@@ -50,7 +50,7 @@
                 response.status,
                 response.body,
                 response.content_type,
-                (*response.headers, *_CLOSE),
+                (*response.headers, *_CLOSE_CONNECTION),
             )
         await response.send(send)
 
@@ -61,8 +61,8 @@
         if config is None:
             events.request_refused(job, GiveUpReason.NO_CONFIGURATION, "")
             return _refusal(GiveUpReason.NO_CONFIGURATION)
-        host = (header(scope, "host") or "").partition(":")[0]
-        queue = config.queue_for(host, scope["path"])
+        host_name = (header(scope, "host") or "").partition(":")[0]
+        queue = config.queue_for(host_name, scope["path"])
         body = await read_body(receive, config.limits.body_bytes)
         if queue is None:
             events.request_refused(job, GiveUpReason.NO_QUEUE, scope["path"])
@@ -102,10 +102,10 @@
             return json_response(503, {"Reason": str(error)})
         results: list[BatchResult] = []
 
-        async def run(scope_: anyio.CancelScope) -> None:
+        async def run(run_scope: anyio.CancelScope) -> None:
             found = await self._host.run_job(batch, queue, _timeout(scope))
             results.append(found)
-            scope_.cancel()
+            run_scope.cancel()
 
         async with anyio.create_task_group() as group:
             group.start_soon(run, group.cancel_scope)
@@ -125,8 +125,8 @@
 
 
 def _answer(result: BatchResult) -> HttpResponse:
-    if result.outcome in _STATE_OF:
-        return json_response(200, {"State": _STATE_OF[result.outcome]})
+    if result.outcome in _STATE_BY_OUTCOME:
+        return json_response(200, {"State": _STATE_BY_OUTCOME[result.outcome]})
     if result.outcome is BatchOutcome.CANCELLED:
         return json_response(410, {})
     if result.outcome is BatchOutcome.NOT_RUN:
--- a/src/brasstray/platform/job_bodies.py
+++ b/src/brasstray/platform/job_bodies.py
@@ -14,8 +14,8 @@
 from brasstray.platform.body import Body, UnreadableBodyError
 
 # Upper bound for one step; the largest job at full load has 1,700 tasks.
-MOST_TASKS = 10_000
-_Count = Annotated[int, msgspec.Meta(ge=0)]
+MAX_TASKS_PER_STEP = 10_000
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class UnreadableJobError(Exception):
@@ -32,19 +32,19 @@
     `cpu` is in thousandths of a core; `after` holds indices of earlier steps.
     """
 
-    count: Annotated[int, msgspec.Meta(ge=1, le=MOST_TASKS)] = 1
-    cpu: _Count = 0
-    mem_mb: _Count = 0
-    gpu: _Count = 0
-    est_ms: _Count = 1
+    count: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS_PER_STEP)] = 1
+    cpu: _NonNegativeInt = 0
+    mem_mb: _NonNegativeInt = 0
+    gpu: _NonNegativeInt = 0
+    est_ms: _NonNegativeInt = 1
     after: list[int] = msgspec.field(default_factory=list)
     data_rack: str = ""
     required_label: str = ""
-    max_per_server: _Count = 0
+    max_per_server: _NonNegativeInt = 0
     gang: bool = False
     target_ms: int = 0
 
-    def step(self, number: int) -> Step:
+    def to_step(self, number: int) -> Step:
         """Convert to a step; raise UnreadableJobError or UnsupportedJobError."""
         if any(not 0 <= before < number for before in self.after):
             raise UnreadableJobError(f"step {number} waits for a step not before it")
@@ -71,7 +71,7 @@
     repeat_count: int = 0
 
 
-def parse_job(batch: str, text: bytes) -> Batch:
+def parse_job(job_id: str, text: bytes) -> Batch:
     """Decode a job; raise UnreadableJobError or UnsupportedJobError."""
     try:
         body = JobBody.decode(text)
@@ -79,8 +79,8 @@
         raise UnreadableJobError(str(error)) from error
     if not body.best_effort or body.long_running or body.repeat_count:
         raise UnsupportedJobError("only jobs with BestEffort are served")
-    steps = tuple(step.step(number) for number, step in enumerate(body.steps))
-    return Batch(BatchId(batch), body.spec, steps)
+    steps = tuple(step.to_step(number) for number, step in enumerate(body.steps))
+    return Batch(BatchId(job_id), body.spec, steps)
 
 
 __all__ = ["UnreadableJobError", "UnsupportedJobError", "parse_job"]
--- a/src/brasstray/platform/minion_bodies.py
+++ b/src/brasstray/platform/minion_bodies.py
@@ -9,7 +9,7 @@
 from brasstray.platform.task_name_format import parse_task_name
 from brasstray.pool.probe_reply import ActiveRun, EndedRun, ProbeReply, RunEnd
 
-_ENDS = {
+_RUN_END_BY_TEXT = {
     "done": RunEnd.DONE,
     "failed": RunEnd.FAILED,
     "stopped": RunEnd.STOPPED,
@@ -71,7 +71,7 @@
     running: list[list[str | int | float]] = msgspec.field(default_factory=list)
     finished: list[list[str | int | float]] = msgspec.field(default_factory=list)
 
-    def probe_reply(self) -> ProbeReply:
+    def to_probe_reply(self) -> ProbeReply:
         """Convert the rows.
 
         Raises ValueError, KeyError or IndexError if a row is malformed.
@@ -85,7 +85,7 @@
                 int(row[0]),
                 parse_task_name(str(row[1])),
                 RunNumber(int(row[2])),
-                _ENDS[str(row[3])],
+                _RUN_END_BY_TEXT[str(row[3])],
             )
             for row in self.finished
         )
--- a/src/brasstray/platform/minion_client.py
+++ b/src/brasstray/platform/minion_client.py
@@ -37,7 +37,7 @@
 # Enough for the waiting hold call and a burst of starts; further idle connections
 # are closed.
 IDLE_CONNECTIONS = 6
-_REFUSALS = {
+_REFUSAL_BY_REASON = {
     "old": StartRefusal.STALE_RUN,
     "late": StartRefusal.LEASE_PASSED,
     "room": StartRefusal.NO_ROOM,
@@ -73,7 +73,7 @@
         if response.status != 200:
             raise MinionSilentError(f"status {response.status}")
         try:
-            return HoldReply.decode(response.content).probe_reply()
+            return HoldReply.decode(response.content).to_probe_reply()
         except (UnreadableBodyError, ValueError, KeyError, IndexError) as error:
             raise MinionSilentError(f"invalid response body: {error!r}") from error
 
@@ -102,7 +102,9 @@
             raise StartRefusedError(StartRefusal.UNHEALTHY)
         if response.status == 409:
             reason = _reply(response).reason
-            raise StartRefusedError(_REFUSALS.get(reason, StartRefusal.NO_ROOM))
+            raise StartRefusedError(
+                _REFUSAL_BY_REASON.get(reason, StartRefusal.NO_ROOM)
+            )
         if response.status == 400:
             raise StartRefusedError(StartRefusal.MALFORMED)
         raise MinionSilentError(f"status {response.status}")
--- a/src/brasstray/platform/minion_listing.py
+++ b/src/brasstray/platform/minion_listing.py
@@ -20,20 +20,20 @@
     from brasstray.store.entry import StoreEntry
 
 SERVERS_PREFIX = "servers/"
-_DRAINING = {"ready": False, "draining": True}
-_Amount = Annotated[int, msgspec.Meta(ge=0)]
+_DRAINING_BY_STATE = {"ready": False, "draining": True}
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 # No minion takes this long to warm up; larger values are invalid and are capped.
-LONGEST_COLD_MS = 600_000
+MAX_WARM_UP_MS = 600_000
 # The id is sent to the minion in a header, so it must hold no line break or space.
-_ID = re.compile(r"[!-~]{1,200}")
+_MINION_ID = re.compile(r"[!-~]{1,200}")
 
 
 class CapacityBody(Body, frozen=True, kw_only=True):
     """Hold a minion's resources; `cpu` is in thousandths of a core."""
 
-    cpu: _Amount
-    mem_mb: _Amount
-    gpu: _Amount = 0
+    cpu: _NonNegativeInt
+    mem_mb: _NonNegativeInt
+    gpu: _NonNegativeInt = 0
 
 
 class ServerBody(Body, frozen=True, kw_only=True):
@@ -54,9 +54,11 @@
 class MinionListing:
     """Read the entries that minions write to the store under their ids."""
 
-    def __init__(self, store: StoreClient, ignored: Callable[[str, str], None]) -> None:
+    def __init__(
+        self, store: StoreClient, on_ignored: Callable[[str, str], None]
+    ) -> None:
         self._store = store
-        self._ignored = ignored
+        self._on_ignored = on_ignored
 
     async def minions(self, data_centre: DataCentreName) -> list[MinionEntry]:
         """Return the minions listed in `data_centre`, of all services.
@@ -70,17 +72,17 @@
             try:
                 entries.append(minion_entry(entry))
             except UnreadableBodyError as error:
-                self._ignored(entry.name, str(error))
+                self._on_ignored(entry.name, str(error))
         return [entry for entry in entries if entry.data_centre == data_centre]
 
 
 def minion_entry(entry: StoreEntry) -> MinionEntry:
     """Decode the minion in `entry`; raise UnreadableBodyError if it is invalid."""
     name = entry.name.removeprefix(SERVERS_PREFIX)
-    if not _ID.fullmatch(name):
+    if not _MINION_ID.fullmatch(name):
         raise UnreadableBodyError(f"invalid minion id {name!r}")
     body = ServerBody.decode_strictly(entry.value)
-    if body.state not in _DRAINING:
+    if body.state not in _DRAINING_BY_STATE:
         raise UnreadableBodyError(f"unknown state {body.state!r}")
     try:
         endpoint = parse_endpoint(body.address)
@@ -96,8 +98,8 @@
         endpoint.port,
         Resources(body.capacity.cpu, body.capacity.mem_mb, body.capacity.gpu),
         body.labels,
-        _DRAINING[body.state],
-        max(0, int(min(body.cold_left_ms, LONGEST_COLD_MS))),
+        _DRAINING_BY_STATE[body.state],
+        max(0, int(min(body.cold_left_ms, MAX_WARM_UP_MS))),
     )
 
 
--- a/src/brasstray/platform/operator_entries.py
+++ b/src/brasstray/platform/operator_entries.py
@@ -34,9 +34,11 @@
     another entry changes.
     """
 
-    def __init__(self, store: StoreClient, ignored: Callable[[str, str], None]) -> None:
+    def __init__(
+        self, store: StoreClient, on_ignored: Callable[[str, str], None]
+    ) -> None:
         self._store = store
-        self._ignored = ignored
+        self._on_ignored = on_ignored
 
     async def read(self) -> OperatorEntries:
         """Return all current entries."""
@@ -67,7 +69,7 @@
             configuration,
             as_of,
             frozenset(self._evacuated(written)),
-            frozenset(map(_centre, filter(_is_evacuation, removed))),
+            frozenset(map(_data_centre, filter(_is_evacuation, removed))),
             unreadable,
         )
 
@@ -81,16 +83,16 @@
             try:
                 EvacuateBody.decode_strictly(entry.value)
             except UnreadableBodyError as error:
-                self._ignored(entry.name, str(error))
+                self._on_ignored(entry.name, str(error))
             else:
-                yield _centre(entry.name)
+                yield _data_centre(entry.name)
 
 
 def _is_evacuation(key: str) -> bool:
     return key.startswith(EVACUATE_PREFIX)
 
 
-def _centre(key: str) -> DataCentreName:
+def _data_centre(key: str) -> DataCentreName:
     return DataCentreName(key.removeprefix(EVACUATE_PREFIX))
 
 
--- a/src/brasstray/platform/store_bodies.py
+++ b/src/brasstray/platform/store_bodies.py
@@ -19,7 +19,7 @@
     revision: int
     removed: bool = False
 
-    def entry(self) -> StoreEntry:
+    def to_entry(self) -> StoreEntry:
         """Convert to an entry, with an empty value if it is not valid base64.
 
         An exception would hide all other entries of the page. No entry that hosts read
@@ -32,7 +32,7 @@
         return StoreEntry(self.key, value, self.revision)
 
 
-class Page(Body, frozen=True, kw_only=True):
+class RangeReply(Body, frozen=True, kw_only=True):
     """Hold a page of items; the next page begins after the last key."""
 
     items: list[Item] = msgspec.field(default_factory=list, name="items")
@@ -40,13 +40,13 @@
     as_of: int
 
 
-class Events(Body, frozen=True, kw_only=True):
+class WatchReply(Body, frozen=True, kw_only=True):
     """Hold the changes under a prefix, and the revision to watch from next."""
 
     events: list[Item] = msgspec.field(default_factory=list, name="events")
     as_of: int
 
-    def changes(self) -> Changes:
+    def to_changes(self) -> Changes:
         """Convert the events, keeping the last one of each key.
 
         A key that was deleted and written again within one response, or the reverse,
@@ -54,7 +54,7 @@
         """
         latest = {item.key: item for item in self.events}.values()
         return Changes(
-            tuple(item.entry() for item in latest if not item.removed),
+            tuple(item.to_entry() for item in latest if not item.removed),
             tuple(item.key for item in latest if item.removed),
             self.as_of,
         )
@@ -82,13 +82,13 @@
     deletes: list[str] = msgspec.field(default_factory=list)
 
 
-class Committed(Body, frozen=True, kw_only=True):
+class TransactionReply(Body, frozen=True, kw_only=True):
     """Hold the revision that a transaction created."""
 
     revision: int
 
 
-def swap_body(name: str, value: bytes, expected: int) -> bytes:
+def encode_compare_and_swap(name: str, value: bytes, expected: int) -> bytes:
     """Encode a transaction that writes `value` if the revision is `expected`."""
     return Transaction(
         expect=[Expectation(key=name, revision=expected)],
@@ -97,10 +97,10 @@
 
 
 __all__ = [
-    "Committed",
-    "Events",
     "Item",
-    "Page",
+    "RangeReply",
     "Transaction",
-    "swap_body",
+    "TransactionReply",
+    "WatchReply",
+    "encode_compare_and_swap",
 ]
--- a/src/brasstray/platform/store_client.py
+++ b/src/brasstray/platform/store_client.py
@@ -10,12 +10,12 @@
 from brasstray.http.errors import HttpCallError
 from brasstray.platform.body import UnreadableBodyError
 from brasstray.platform.store_bodies import (
-    Committed,
-    Events,
     Item,
-    Page,
+    RangeReply,
     Transaction,
-    swap_body,
+    TransactionReply,
+    WatchReply,
+    encode_compare_and_swap,
 )
 from brasstray.store.errors import (
     HistoryLostError,
@@ -47,7 +47,7 @@
     def __init__(self, address: str, port: int) -> None:
         self._connections = Connections(address, port, IDLE_CONNECTIONS)
 
-    def move(self, address: str, port: int) -> None:
+    def set_address(self, address: str, port: int) -> None:
         """Send all further calls to another address."""
         self._connections = Connections(address, port, IDLE_CONNECTIONS)
 
@@ -57,23 +57,23 @@
         response = await self._call("GET", target)
         if response.status == 404:
             return None
-        return _decode(Item, response).entry()
+        return _decode(Item, response).to_entry()
 
     async def swap(self, name: str, value: bytes, expected: int) -> int:
         """Write `value` if the revision is `expected`, and return the new revision.
 
         Raises StoreConflictError if the revision is another.
         """
-        content = swap_body(name, value, expected)
+        content = encode_compare_and_swap(name, value, expected)
         response = await self._call("POST", "/-/kv-txn", content)
         if response.status == 412:
             raise StoreConflictError(name)
-        return _decode(Committed, response).revision
+        return _decode(TransactionReply, response).revision
 
     async def scan(self, prefix: str, after: str = "") -> list[StoreEntry]:
         """Return a sorted page of entries under `prefix`, with names after `after`."""
         page = await self._page(prefix, after)
-        return [item.entry() for item in page.items]
+        return [item.to_entry() for item in page.items]
 
     async def delete(self, name: str) -> None:
         """Remove the entry called `name`, if there is one."""
@@ -88,7 +88,7 @@
             # Keep the revision of the first page: a watch from there also reports the
             # changes made between two pages.
             as_of = page.as_of if as_of is None else as_of
-            entries.extend(item.entry() for item in page.items)
+            entries.extend(item.to_entry() for item in page.items)
             if not page.has_more or not page.items:
                 return Snapshot(tuple(entries), as_of)
             after = page.items[-1].key
@@ -104,16 +104,16 @@
         response = await self._call("GET", target, timeout=wait + WATCH_MARGIN)
         if response.status == 410:
             raise HistoryLostError(prefix)
-        return _decode(Events, response).changes()
+        return _decode(WatchReply, response).to_changes()
 
     async def aclose(self) -> None:
         """Close every connection."""
         await self._connections.aclose()
 
-    async def _page(self, prefix: str, after: str) -> Page:
+    async def _page(self, prefix: str, after: str) -> RangeReply:
         query = {"Prefix": prefix} | ({"After": after} if after else {})
         response = await self._call("GET", f"/-/kv-range?{urlencode(query)}")
-        return _decode(Page, response)
+        return _decode(RangeReply, response)
 
     async def _call(
         self,
@@ -122,25 +122,25 @@
         content: bytes = b"",
         timeout: timedelta = CALL_TIMEOUT,
     ) -> HttpReply:
-        what = f"{method} {target.partition('?')[0]}"
+        operation = f"{method} {target.partition('?')[0]}"
         try:
             response = await self._connections.call(method, target, content, timeout)
         except TimeoutError as error:
             raise StoreUnavailableError(
-                f"{what}: no response before the timeout"
+                f"{operation}: no response before the timeout"
             ) from error
         except HttpCallError as error:
-            raise StoreUnavailableError(f"{what}: {error!r}") from error
+            raise StoreUnavailableError(f"{operation}: {error!r}") from error
         if response.status not in (200, 404, 410, 412):
-            raise StoreUnavailableError(f"{what}: status {response.status}")
+            raise StoreUnavailableError(f"{operation}: status {response.status}")
         return response
 
 
-def _decode(kind: type[_B], response: HttpReply) -> _B:
+def _decode(body_type: type[_B], response: HttpReply) -> _B:
     if response.status != 200:
         raise StoreUnavailableError(f"status {response.status}")
     try:
-        return kind.decode(response.content)
+        return body_type.decode(response.content)
     except UnreadableBodyError as error:
         raise StoreUnavailableError(f"invalid response body: {error}") from error
 
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -119,7 +119,7 @@
     running = [[f"{JOB}.0.0.1", 2, "", 41, 6800.5]]
     finished = [[58, f"{JOB}.0.0.2", 1, "alone", ""]]
     text = json.dumps({"ClockMs": 5, "Running": running, "Finished": finished})
-    reply = HoldReply.decode(text).probe_reply()
+    reply = HoldReply.decode(text).to_probe_reply()
     name = BatchId(JOB)
     assert reply.clock_ms == 5
     assert reply.active == (ActiveRun(TaskName(name, 0, 1), RunNumber(2), 41),)
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -21,7 +21,12 @@
 )
 from brasstray.platform.minion_bodies import HoldReply, Reply
 from brasstray.platform.minion_listing import minion_entry
-from brasstray.platform.store_bodies import Committed, Events, Item, Page
+from brasstray.platform.store_bodies import (
+    Item,
+    RangeReply,
+    TransactionReply,
+    WatchReply,
+)
 from brasstray.store.entry import StoreEntry
 
 SERVER = {
@@ -78,15 +83,18 @@
     (lambda text: parse_job("a" * 16, text), (UnreadableJobError, UnsupportedJobError)),
     (parse_configuration, UnreadableConfigError),
     (
-        lambda text: HoldReply.decode(text).probe_reply(),
+        lambda text: HoldReply.decode(text).to_probe_reply(),
         (UnreadableBodyError, ValueError),
     ),
     (Reply.decode, UnreadableBodyError),
     (lambda text: minion_entry(entry(text)), UnreadableBodyError),
-    (lambda text: Item.decode(text).entry(), UnreadableBodyError),
-    (lambda text: [i.entry() for i in Page.decode(text).items], UnreadableBodyError),
-    (Events.decode, UnreadableBodyError),
-    (Committed.decode, UnreadableBodyError),
+    (lambda text: Item.decode(text).to_entry(), UnreadableBodyError),
+    (
+        lambda text: [i.to_entry() for i in RangeReply.decode(text).items],
+        UnreadableBodyError,
+    ),
+    (WatchReply.decode, UnreadableBodyError),
+    (TransactionReply.decode, UnreadableBodyError),
     (lambda text: owned_pool(entry(text)), ValueError),
     (decode_frame, UnreadableMessageError),
 ]
--- a/tests/platform/test_operator_entries.py
+++ b/tests/platform/test_operator_entries.py
@@ -9,7 +9,7 @@
 import pytest
 
 from brasstray.platform.operator_entries import OperatorEntryReader
-from brasstray.platform.store_bodies import Events, Item
+from brasstray.platform.store_bodies import Item, WatchReply
 from brasstray.store.entry import StoreEntry
 from brasstray.store.watchable_store import Changes, Snapshot
 
@@ -91,6 +91,6 @@
         Item(key="k", revision=number, removed=event == "gone")
         for number, event in enumerate(events.split())
     ]
-    found = Events(events=items, as_of=9).changes()
+    found = WatchReply(events=items, as_of=9).to_changes()
     assert [entry.name for entry in found.written] == written
     assert list(found.removed) == removed
