--- a/src/brasstray/daemon/daemon.py
+++ b/src/brasstray/daemon/daemon.py
@@ -26,7 +26,7 @@
 
     from brasstray.entry.config import EntryConfig
     from brasstray.metrics.metrics import Metrics
-    from brasstray.settings.settings import Settings
+    from brasstray.settings.entry_settings import EntrySettings
 
 
 class Daemon:
@@ -112,7 +112,7 @@
                 return
 
 
-async def run_daemon(settings: Settings, metrics: Metrics) -> None:
+async def run_daemon(settings: EntrySettings, metrics: Metrics) -> None:
     """Run an entry host with `settings` until SIGTERM or SIGINT."""
     random = SystemRandom()
     platform = settings.platform
--- a/src/brasstray/daemon/main.py
+++ b/src/brasstray/daemon/main.py
@@ -16,7 +16,7 @@
 
 from brasstray.daemon.daemon import run_daemon
 from brasstray.metrics.metrics import ReadableMetrics
-from brasstray.settings.settings import read_settings
+from brasstray.settings.entry_settings import read_entry_settings
 
 BAD_SETTINGS_STATUS = 2
 CANNOT_LISTEN_STATUS = 3
@@ -26,7 +26,7 @@
     settings: Annotated[Path, typer.Option(help="The INI file with the settings.")],
 ) -> None:
     """Serve as an entry host until SIGTERM; then finish active jobs and exit."""
-    match read_settings(settings):
+    match read_entry_settings(settings):
         case Err(problems):
             for problem in problems:
                 typer.echo(f"{settings}: {problem}", err=True)
--- a/src/brasstray/daemon/pool_daemon.py
+++ b/src/brasstray/daemon/pool_daemon.py
@@ -105,7 +105,7 @@
             outside,
             HostTiming(pool=pool_timing(settings.minions)),
             settings.minions.remote_factor,
-            section.known_centres,
+            section.known_data_centres,
         )
         self._front = HttpServer(JobApp(self._host))
         self._ready = HttpServer(ReadyApp(self._host))
--- a/src/brasstray/settings/check.py
+++ b/src/brasstray/settings/check.py
@@ -9,15 +9,15 @@
 
 from result import Err, Ok, Result
 
+from brasstray.settings.entry_settings import read_entry_settings
 from brasstray.settings.pool_settings import POOL_SECTIONS, read_pool_settings
-from brasstray.settings.settings import read_settings
 
 if TYPE_CHECKING:
     from pathlib import Path
 
+    from brasstray.settings.entry_settings import EntrySettings
     from brasstray.settings.pool_settings import PoolSettings
     from brasstray.settings.problem import SettingsProblem
-    from brasstray.settings.settings import Settings
 
 
 class DaemonKind(Enum):
@@ -28,7 +28,7 @@
 
 
 @dataclass(frozen=True)
-class CheckedSettings:
+class SettingsReport:
     """Hold the daemon that a settings file is for, and the problems found in it."""
 
     daemon: DaemonKind
@@ -45,11 +45,11 @@
         }
 
 
-def settings_problems(path: Path) -> CheckedSettings:
+def settings_problems(path: Path) -> SettingsReport:
     """Validate a file; the names of its sections tell which daemon it is for."""
     if _is_for_pool_host(path):
-        return _checked(DaemonKind.POOL_HOST, read_pool_settings(path))
-    return _checked(DaemonKind.ENTRY_HOST, read_settings(path))
+        return _report(DaemonKind.POOL_HOST, read_pool_settings(path))
+    return _report(DaemonKind.ENTRY_HOST, read_entry_settings(path))
 
 
 def _is_for_pool_host(path: Path) -> bool:
@@ -62,16 +62,16 @@
     return any(parser.has_section(name) for name in POOL_SECTIONS)
 
 
-def _checked(
+def _report(
     daemon: DaemonKind,
     found: Result[PoolSettings, list[SettingsProblem]]
-    | Result[Settings, list[SettingsProblem]],
-) -> CheckedSettings:
+    | Result[EntrySettings, list[SettingsProblem]],
+) -> SettingsReport:
     match found:
         case Ok(_):
-            return CheckedSettings(daemon, ())
+            return SettingsReport(daemon, ())
         case Err(problems):
-            return CheckedSettings(daemon, tuple(problems))
+            return SettingsReport(daemon, tuple(problems))
 
 
-__all__ = ["CheckedSettings", "DaemonKind", "settings_problems"]
+__all__ = ["DaemonKind", "SettingsReport", "settings_problems"]
--- a/src/brasstray/settings/endpoint.py
+++ b/src/brasstray/settings/endpoint.py
@@ -6,8 +6,8 @@
 import re
 from dataclasses import dataclass
 
-LARGEST_PORT = 65_535
-_EXPECTED = "an IP address and a port, as 127.0.0.1:8080"
+MAX_PORT = 65_535
+_EXPECTED_FORM = "an IP address and a port, as 127.0.0.1:8080"
 
 
 @dataclass(frozen=True)
@@ -21,12 +21,12 @@
 def parse_endpoint(text: str) -> Endpoint:
     """Parse an address and port; raise ValueError, which names the expected form."""
     match = re.fullmatch(r"(.+):(\d{1,5})", text)
-    if match is None or int(match[2]) > LARGEST_PORT:
-        raise ValueError(_EXPECTED)
+    if match is None or int(match[2]) > MAX_PORT:
+        raise ValueError(_EXPECTED_FORM)
     try:
         ipaddress.ip_address(match[1])
     except ValueError:
-        raise ValueError(_EXPECTED) from None
+        raise ValueError(_EXPECTED_FORM) from None
     return Endpoint(match[1], int(match[2]))
 
 
--- a/src/brasstray/settings/settings.py
+++ b/src/brasstray/settings/entry_settings.py
@@ -41,7 +41,7 @@
 
 
 @dataclass(frozen=True)
-class Settings:
+class EntrySettings:
     """Hold the validated sections."""
 
     entry: EntrySection
@@ -82,7 +82,7 @@
         )
 
 
-def read_settings(path: Path) -> Result[Settings, list[SettingsProblem]]:
+def read_entry_settings(path: Path) -> Result[EntrySettings, list[SettingsProblem]]:
     """Read the settings in `path`, or return all problems found in them."""
     parser = ConfigParser(interpolation=None)
     try:
@@ -92,14 +92,14 @@
         return Err(
             [SettingsProblem(str(path), "file", f"a readable INI file: {error}")]
         )
-    return _check(parser)
+    return _validate(parser)
 
 
-def _check(parser: ConfigParser) -> Result[Settings, list[SettingsProblem]]:
+def _validate(parser: ConfigParser) -> Result[EntrySettings, list[SettingsProblem]]:
     problems: list[SettingsProblem] = []
     sections = {
-        name: read_section(parser, name, kind, problems)
-        for name, kind in _SECTIONS.items()
+        name: read_section(parser, name, section_type, problems)
+        for name, section_type in _SECTIONS.items()
     }
     services = {
         ServiceName(name.removeprefix(SERVICE_PREFIX)): read_section(
@@ -121,16 +121,19 @@
         problems.append(SettingsProblem("entry", "data_centres", expected))
     if problems:
         return Err(problems)
-    return Ok(Settings(**sections, services=services))  # type: ignore[arg-type]
+    return Ok(EntrySettings(**sections, services=services))  # type: ignore[arg-type]
 
 
 def read_section(
-    parser: ConfigParser, name: str, kind: type[_S], problems: list[SettingsProblem]
+    parser: ConfigParser,
+    name: str,
+    section_type: type[_S],
+    problems: list[SettingsProblem],
 ) -> _S | None:
     """Read the section `name`; if it is invalid, add its problems and return None."""
     values = dict(parser[name]) if parser.has_section(name) else {}
     try:
-        return kind.model_validate(values)
+        return section_type.model_validate(values)
     except ValidationError as error:
         for item in error.errors():
             key = ".".join(str(part) for part in item["loc"][:1]) or "section"
@@ -138,4 +141,4 @@
         return None
 
 
-__all__ = ["Settings", "read_section", "read_settings"]
+__all__ = ["EntrySettings", "read_entry_settings", "read_section"]
--- a/src/brasstray/settings/pool_settings.py
+++ b/src/brasstray/settings/pool_settings.py
@@ -12,7 +12,7 @@
 from brasstray.job.ids import DataCentreName
 from brasstray.settings.endpoint import Endpoint
 from brasstray.settings.problem import SettingsProblem
-from brasstray.settings.struct_section import read_struct
+from brasstray.settings.struct_section import read_struct_section
 
 if TYPE_CHECKING:
     from pathlib import Path
@@ -38,7 +38,7 @@
     metrics: Endpoint
 
     @property
-    def known_centres(self) -> frozenset[DataCentreName]:
+    def known_data_centres(self) -> frozenset[DataCentreName]:
         """Return the set of names in `data_centres`."""
         names = (name.strip() for name in self.data_centres.split(","))
         return frozenset(DataCentreName(name) for name in names if name)
@@ -115,8 +115,8 @@
         )
     problems: list[SettingsProblem] = []
     sections = {
-        name: read_struct(parser, name, kind, problems)
-        for name, kind in POOL_SECTIONS.items()
+        name: read_struct_section(parser, name, section_type, problems)
+        for name, section_type in POOL_SECTIONS.items()
     }
     for name in parser.sections():
         if name not in POOL_SECTIONS:
--- a/src/brasstray/settings/sections.py
+++ b/src/brasstray/settings/sections.py
@@ -12,18 +12,18 @@
 Name = Annotated[str, Field(pattern=_NAME)]
 
 
-def _names(text: object) -> object:
+def _split_names(text: object) -> object:
     if not isinstance(text, str):
         return text
     return [part.strip() for part in text.split(",") if part.strip()]
 
 
-def _endpoint(text: object) -> object:
+def _parse_endpoint(text: object) -> object:
     return parse_endpoint(text) if isinstance(text, str) else text
 
 
-EndpointText = Annotated[Endpoint, BeforeValidator(_endpoint)]
-Names = Annotated[list[Name], BeforeValidator(_names), Field(min_length=1)]
+ParsedEndpoint = Annotated[Endpoint, BeforeValidator(_parse_endpoint)]
+Names = Annotated[list[Name], BeforeValidator(_split_names), Field(min_length=1)]
 
 
 class _Section(BaseModel):
@@ -36,14 +36,14 @@
     data_centre: Name
     host: Name
     data_centres: Names
-    callers: EndpointText
-    peers: EndpointText
+    callers: ParsedEndpoint
+    peers: ParsedEndpoint
 
 
 class PlatformSection(_Section):
     """Define the platform's endpoint and the timeout of calls to it."""
 
-    address: EndpointText
+    address: ParsedEndpoint
     timeout_ms: int = Field(default=1_000, ge=10, le=60_000)
 
 
--- a/tests/settings/test_check.py
+++ b/tests/settings/test_check.py
@@ -5,13 +5,13 @@
 import json
 
 import pytest
-from tests.settings.test_settings import GOOD, write
+from tests.settings.test_entry_settings import VALID_ENTRY_HOST, write
 from typer.testing import CliRunner
 
 from brasstray.command.main import app
 from brasstray.settings.check import DaemonKind, settings_problems
 
-POOL = {
+VALID_POOL_HOST = {
     "host": {
         "name": "edge-1",
         "data_centre": "utrecht-a",
@@ -29,43 +29,45 @@
 @pytest.mark.parametrize(
     ("sections", "daemon", "wrong"),
     [
-        (GOOD, DaemonKind.ENTRY_HOST, []),
-        (POOL, DaemonKind.POOL_HOST, []),
+        (VALID_ENTRY_HOST, DaemonKind.ENTRY_HOST, []),
+        (VALID_POOL_HOST, DaemonKind.POOL_HOST, []),
         (
-            POOL | {"stop": {"grace_seconds": "0"}},
+            VALID_POOL_HOST | {"stop": {"grace_seconds": "0"}},
             DaemonKind.POOL_HOST,
             [("stop", "grace_seconds")],
         ),
         (
-            POOL | {"minions": {"lease_ms": "100"}, "store": {"address": "store:1"}},
+            VALID_POOL_HOST
+            | {"minions": {"lease_ms": "100"}, "store": {"address": "store:1"}},
             DaemonKind.POOL_HOST,
             [("store", "address"), ("minions", "lease_ms")],
         ),
         (
-            POOL | {"processor": {"share": "0.5", "speed": "3"}},
+            VALID_POOL_HOST | {"processor": {"share": "0.5", "speed": "3"}},
             DaemonKind.POOL_HOST,
             [],
         ),
         (
-            POOL | {"processor": {"share": "0", "speed": "fast", "cores": "3"}},
+            VALID_POOL_HOST
+            | {"processor": {"share": "0", "speed": "fast", "cores": "3"}},
             DaemonKind.POOL_HOST,
             [("processor", "share"), ("processor", "speed"), ("processor", "cores")],
         ),
         (
-            POOL | {"printer": {"paper": "a4"}},
+            VALID_POOL_HOST | {"printer": {"paper": "a4"}},
             DaemonKind.POOL_HOST,
             [("printer", "section")],
         ),
     ],
 )
-def test_each_problem_is_named(tmp_path, sections, daemon, wrong):
+def test_each_problem_is_reported(tmp_path, sections, daemon, wrong):
     found = settings_problems(write(tmp_path / "a.ini", sections))
     assert found.daemon is daemon
     assert [(p.section, p.key) for p in found.problems] == wrong
 
 
 @pytest.mark.parametrize("text", ["[host\nname=", "\xff\xfe", ""])
-def test_a_file_that_is_no_settings_is_a_problem(tmp_path, text):
+def test_a_file_without_settings_is_reported(tmp_path, text):
     path = tmp_path / "a.ini"
     path.write_bytes(text.encode("latin-1"))
     assert settings_problems(path).problems
@@ -73,12 +75,12 @@
 
 @pytest.mark.parametrize(
     ("sections", "status"),
-    [(POOL, 0), (POOL | {"stop": {"grace_seconds": "x"}}, 2)],
+    [(VALID_POOL_HOST, 0), (VALID_POOL_HOST | {"stop": {"grace_seconds": "x"}}, 2)],
 )
 def test_the_command_ends_with_a_status_and_prints_json(tmp_path, sections, status):
     path = write(tmp_path / "a.ini", sections)
     result = CliRunner().invoke(app, ["settings", "check", str(path), "--json"])
     assert result.exit_code == status
-    told = json.loads(result.stdout)
-    assert told["daemon"] == "pool_host"
-    assert bool(told["problems"]) == bool(status)
+    report = json.loads(result.stdout)
+    assert report["daemon"] == "pool_host"
+    assert bool(report["problems"]) == bool(status)
--- a/tests/settings/test_settings.py
+++ b/tests/settings/test_entry_settings.py
@@ -5,9 +5,9 @@
 import pytest
 from result import Err, Ok
 
-from brasstray.settings.settings import read_settings
+from brasstray.settings.entry_settings import read_entry_settings
 
-GOOD = {
+VALID_ENTRY_HOST = {
     "entry": {
         "data_centre": "utrecht-a",
         "host": "entry-0",
@@ -29,8 +29,8 @@
     return path
 
 
-def test_good_settings_are_read(tmp_path):
-    match read_settings(write(tmp_path / "a.ini", GOOD)):
+def test_valid_settings_are_read(tmp_path):
+    match read_entry_settings(write(tmp_path / "a.ini", VALID_ENTRY_HOST)):
         case Ok(settings):
             assert settings.entry.callers.port == 8080
             assert not settings.services["verlofdienst"].repeatable
@@ -52,9 +52,12 @@
         ("printer", "paper", "a4", "one of entry, platform"),
     ],
 )
-def test_a_wrong_line_is_named(tmp_path, section, key, value, expected):
-    sections = {**GOOD, section: {**GOOD.get(section, {}), key: value}}
-    match read_settings(write(tmp_path / "a.ini", sections)):
+def test_an_invalid_setting_is_reported(tmp_path, section, key, value, expected):
+    sections = {
+        **VALID_ENTRY_HOST,
+        section: {**VALID_ENTRY_HOST.get(section, {}), key: value},
+    }
+    match read_entry_settings(write(tmp_path / "a.ini", sections)):
         case Ok(_):
             raise AssertionError("invalid settings accepted")
         case Err([problem]):
@@ -65,9 +68,13 @@
             raise AssertionError(problems)
 
 
-def test_every_wrong_line_is_named_at_once(tmp_path):
-    sections = {**GOOD, "platform": {"address": "x"}, "limits": {"max_jobs": "0"}}
-    problems = read_settings(write(tmp_path / "a.ini", sections)).unwrap_err()
+def test_all_invalid_settings_are_reported_at_once(tmp_path):
+    sections = {
+        **VALID_ENTRY_HOST,
+        "platform": {"address": "x"},
+        "limits": {"max_jobs": "0"},
+    }
+    problems = read_entry_settings(write(tmp_path / "a.ini", sections)).unwrap_err()
     assert [(p.section, p.key) for p in problems] == [
         ("platform", "address"),
         ("limits", "max_jobs"),
