--- a/src/brasstray/daemon/daemon.py
+++ b/src/brasstray/daemon/daemon.py
@@ -48,7 +48,7 @@
         self._metrics = metrics
         self._random = random
         self._host: EntryHost | None = None
-        self._http: HttpServer | None = None
+        self._caller_server: HttpServer | None = None
 
     @property
     def host(self) -> EntryHost | None:
@@ -61,12 +61,12 @@
         try:
             async with anyio.create_task_group() as group:
                 self._host = self._assemble(group, minions)
-                self._http = HttpServer(CallerApp(self._host))
+                self._caller_server = HttpServer(CallerApp(self._host))
                 server = WebSocketServer(self._config.incarnation, self._host)
                 group.start_soon(server.run, self._peers)
                 group.start_soon(self._host.run)
                 log_message("brasstray:serves", incarnation=self._config.incarnation)
-                await self._http.run(self._callers)
+                await self._caller_server.run(self._callers)
                 group.cancel_scope.cancel()
         finally:
             with anyio.CancelScope(shield=True):
@@ -97,17 +97,17 @@
 
     async def drain(self) -> None:
         """Wait for active jobs, up to the drain timeout, and end `run`."""
-        if self._host is None or self._http is None:
+        if self._host is None or self._caller_server is None:
             return
         left = await self._host.drain()
         log_message("brasstray:drained", jobs_left=left)
-        self._http.stop()
+        self._caller_server.stop()
 
     async def drain_on_signal(self) -> None:
         """Drain at SIGTERM or SIGINT."""
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-            async for number in signals:
-                log_message("brasstray:signal", signal=number.name)
+            async for signal_number in signals:
+                log_message("brasstray:signal", signal=signal_number.name)
                 await self.drain()
                 return
 
--- a/src/brasstray/daemon/main.py
+++ b/src/brasstray/daemon/main.py
@@ -18,8 +18,8 @@
 from brasstray.metrics.metrics import ReadableMetrics
 from brasstray.settings.entry_settings import read_entry_settings
 
-BAD_SETTINGS_STATUS = 2
-CANNOT_LISTEN_STATUS = 3
+EXIT_INVALID_SETTINGS = 2
+EXIT_CANNOT_LISTEN = 3
 
 
 def run(
@@ -30,7 +30,7 @@
         case Err(problems):
             for problem in problems:
                 typer.echo(f"{settings}: {problem}", err=True)
-            raise typer.Exit(BAD_SETTINGS_STATUS)
+            raise typer.Exit(EXIT_INVALID_SETTINGS)
         case Ok(read):
             to_file(sys.stderr)
             logging.getLogger().addHandler(EliotHandler())
@@ -39,7 +39,7 @@
                 anyio.run(partial(run_daemon, read, metrics), backend="asyncio")
             except OSError as error:
                 typer.echo(f"{settings}: cannot listen: {error}", err=True)
-                raise typer.Exit(CANNOT_LISTEN_STATUS) from error
+                raise typer.Exit(EXIT_CANNOT_LISTEN) from error
 
 
 def main() -> None:
--- a/src/brasstray/daemon/pool_daemon.py
+++ b/src/brasstray/daemon/pool_daemon.py
@@ -44,17 +44,17 @@
     from brasstray.metrics.pool_metrics import PoolMetrics
     from brasstray.settings.pool_settings import MinionsSection, PoolSettings
 
-STANDARD_OUTPUT = 1
+STDOUT_FD = 1
 # A changed file takes effect within 2 s, as is required of a changed configuration.
-RELOAD_INTERVAL = timedelta(seconds=1)
+SETTINGS_POLL_INTERVAL = timedelta(seconds=1)
 # How long new requests may still arrive after this host has reported that it is not
 # ready: the platform checks once a second and removes a host after two failed checks.
-ROTATION_TIME = timedelta(seconds=2.5)
+DEREGISTRATION_DELAY = timedelta(seconds=2.5)
 # The fraction of the longest lease that is requested. Minions cut a longer lease to
 # their maximum, and the host would then assume that it ends later than it does.
-LEASE_SHARE = 0.8
+LEASE_FRACTION = 0.8
 # How many times the minions' stop time a stop is waited for, to cover network latency.
-STOP_MARGIN = 1.2
+STOP_TIME_FACTOR = 1.2
 # What remains of the grace period for the exit itself, after waiting for jobs.
 EXIT_MARGIN = timedelta(seconds=0.7)
 
@@ -73,7 +73,7 @@
         self._path = path
         self._settings = settings
         self._clock = LoopClock()
-        self._output = BoundedOutput(STANDARD_OUTPUT, self._clock)
+        self._output = BoundedOutput(STDOUT_FD, self._clock)
         section = settings.host
         centre = DataCentreName(section.data_centre)
         name = HostName(section.name)
@@ -107,9 +107,9 @@
             settings.minions.remote_factor,
             section.known_data_centres,
         )
-        self._front = HttpServer(JobApp(self._host))
-        self._ready = HttpServer(ReadyApp(self._host))
-        self._metrics = HttpServer(
+        self._job_server = HttpServer(JobApp(self._host))
+        self._readiness_server = HttpServer(ReadyApp(self._host))
+        self._metrics_server = HttpServer(
             MetricsApp(reader, partial(current_status, self._host))
         )
         observe_host(metrics, self._host)
@@ -126,8 +126,8 @@
             group.start_soon(self._output.run)
             group.start_soon(self._host.run)
             group.start_soon(serve_streams, peers, self._host.serve)
-            group.start_soon(self._ready.run, ready)
-            group.start_soon(self._metrics.run, metrics)
+            group.start_soon(self._readiness_server.run, ready)
+            group.start_soon(self._metrics_server.run, metrics)
             group.start_soon(self._drain_on_signal)
             group.start_soon(self._reload_on_signal)
             group.start_soon(self._reload_on_change)
@@ -136,29 +136,29 @@
                 incarnation=self._host.identity.incarnation,
                 peers=f"{section.peers.address}:{section.peers.port}",
             )
-            await self._front.run(callers)
+            await self._job_server.run(callers)
             log_message("brasstray:stopped", jobs_left=self._host.coordinator.active)
             self._output.flush()
             group.cancel_scope.cancel()
 
     async def _reload_on_signal(self) -> None:
         with anyio.open_signal_receiver(signal.SIGHUP) as signals:
-            async for number in signals:
-                log_message("brasstray:signal", signal=number.name)
+            async for signal_number in signals:
+                log_message("brasstray:signal", signal=signal_number.name)
                 self.reload()
 
     async def _reload_on_change(self) -> None:
         """Reload the settings when the file has changed, without a signal."""
-        known = b""
+        last_text = b""
         while True:
-            await self._clock.sleep(RELOAD_INTERVAL)
+            await self._clock.sleep(SETTINGS_POLL_INTERVAL)
             try:
                 text = self._path.read_bytes()
             except OSError:
                 # read_pool_settings gets the same error and reports it.
                 text = b""
-            if text != known:
-                known = text
+            if text != last_text:
+                last_text = text
                 self.reload()
 
     def reload(self) -> None:
@@ -189,25 +189,25 @@
 
     async def _drain_on_signal(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-            async for number in signals:
-                log_message("brasstray:signal", signal=number.name)
+            async for signal_number in signals:
+                log_message("brasstray:signal", signal=signal_number.name)
                 break
         grace = timedelta(seconds=self._settings.stop.grace_seconds)
-        last = self._clock.monotonic() + grace - EXIT_MARGIN
+        deadline = self._clock.monotonic() + grace - EXIT_MARGIN
         self._host.drain(grace - EXIT_MARGIN)
-        await self._clock.sleep(min(ROTATION_TIME, grace / 2))
-        while self._busy and self._clock.monotonic() < last:
+        await self._clock.sleep(min(DEREGISTRATION_DELAY, grace / 2))
+        while self._busy and self._clock.monotonic() < deadline:
             await self._clock.sleep(timedelta(milliseconds=20))
-        self._front.stop()
+        self._job_server.stop()
 
 
 def pool_timing(minions: MinionsSection) -> PoolTiming:
     """Derive the lease and stop intervals from the settings of the minions."""
     millisecond = timedelta(milliseconds=1)
     return PoolTiming(
-        lease=minions.lease_ms * millisecond * LEASE_SHARE,
+        lease=minions.lease_ms * millisecond * LEASE_FRACTION,
         longest_lease=minions.lease_ms * millisecond,
-        stop_time=minions.stop_ms * millisecond * STOP_MARGIN,
+        stop_time=minions.stop_ms * millisecond * STOP_TIME_FACTOR,
     )
 
 
--- a/src/brasstray/daemon/pool_main.py
+++ b/src/brasstray/daemon/pool_main.py
@@ -16,8 +16,8 @@
 from brasstray.settings.pool_settings import read_pool_settings
 
 SETTINGS_VARIABLE = "BRASSTRAY_SETTINGS"
-BAD_SETTINGS_STATUS = 2
-CANNOT_LISTEN_STATUS = 3
+EXIT_INVALID_SETTINGS = 2
+EXIT_CANNOT_LISTEN = 3
 
 
 def main() -> int:
@@ -27,7 +27,7 @@
         case Err(problems):
             for problem in problems:
                 print(f"{path}: {problem}", file=sys.stderr)
-            return BAD_SETTINGS_STATUS
+            return EXIT_INVALID_SETTINGS
         case Ok(settings):
             reader = InMemoryMetricReader()
             provider = MeterProvider([reader])
@@ -37,7 +37,7 @@
                 anyio.run(daemon.run, backend="asyncio")
             except OSError as error:
                 print(f"{path}: cannot listen: {error}", file=sys.stderr)
-                return CANNOT_LISTEN_STATUS
+                return EXIT_CANNOT_LISTEN
     return 0
 
 
--- a/tests/daemon/test_imports.py
+++ b/tests/daemon/test_imports.py
@@ -5,7 +5,7 @@
 import subprocess
 import sys
 
-LOADED_LATER = """
+IMPORTS_OF_STATUS_REQUEST = """
 import sys
 from brasstray.daemon import pool_daemon
 before = set(sys.modules)
@@ -21,6 +21,6 @@
     # busy processes. After 0.4 s of silence another host takes the pool over, so that
     # two hosts reported that they own it. A separate process shows what that request
     # still imports.
-    command = [sys.executable, "-c", LOADED_LATER]
+    command = [sys.executable, "-c", IMPORTS_OF_STATUS_REQUEST]
     done = subprocess.run(command, capture_output=True, text=True, check=True)
     assert done.stdout.splitlines() == ["", "False"]
--- a/tests/daemon/test_pool_daemon.py
+++ b/tests/daemon/test_pool_daemon.py
@@ -14,7 +14,7 @@
 import pytest
 
 ROOT = Path(__file__).resolve().parents[2]
-PATIENCE_SECONDS = 30
+TIMEOUT_SECONDS = 30
 SETTINGS = """
 [host]
 name = {name}
@@ -47,7 +47,7 @@
     return ports
 
 
-class Process:
+class HostProcess:
     def __init__(self, path, text):
         self.path = path / "settings.ini"
         self.path.write_text(text)
@@ -62,7 +62,7 @@
     def send(self, number):
         self._process.send_signal(number)
 
-    def await_line(self, kind):
+    def wait_for_event(self, kind):
         for line in self._process.stdout:
             message = json.loads(line)
             if message["message_type"] == kind:
@@ -70,7 +70,7 @@
         raise AssertionError(f"ended without {kind}")
 
     def wait(self):
-        return self._process.wait(PATIENCE_SECONDS)
+        return self._process.wait(TIMEOUT_SECONDS)
 
     def errors(self):
         return self._process.stderr.read().decode()
@@ -89,7 +89,7 @@
     def run(**changes):
         names = ("callers", "ready", "peers", "metrics", "store")
         values = dict(zip(names, free_ports(5), strict=True)) | {"grace": 2} | changes
-        process = Process(tmp_path, SETTINGS.format(name="edge-1", **values))
+        process = HostProcess(tmp_path, SETTINGS.format(name="edge-1", **values))
         process.values = values
         started.append(process)
         return process
@@ -100,7 +100,7 @@
 
 
 def get(port, path):
-    deadline = time.monotonic() + PATIENCE_SECONDS
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     while True:
         try:
             with socket.create_connection(("127.0.0.1", port), 5) as connection:
@@ -137,17 +137,17 @@
     # An operator changes the settings and sends SIGHUP, which terminates a process that
     # has no handler for it. Invalid settings must change nothing.
     process = start()
-    process.await_line("brasstray:started")
+    process.wait_for_event("brasstray:started")
     text = process.path.read_text()
     process.path.write_text(text.replace("grace_seconds = 2", "grace_seconds = none"))
     process.send(signal.SIGHUP)
-    refused = process.await_line("brasstray:settings_refused")
+    refused = process.wait_for_event("brasstray:settings_refused")
     assert "grace_seconds" in refused["problems"][0]
     process.path.write_text(text.replace("grace_seconds = 2", "grace_seconds = 3"))
     process.send(signal.SIGHUP)
-    assert process.await_line("brasstray:settings_reloaded")["grace_seconds"] == 3
+    assert process.wait_for_event("brasstray:settings_reloaded")["grace_seconds"] == 3
     process.send(signal.SIGTERM)
-    process.await_line("brasstray:stopped")
+    process.wait_for_event("brasstray:stopped")
     assert process.wait() == 0
 
 
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -13,9 +13,9 @@
 import pytest
 import uvicorn
 from tests.daemon.test_pool_daemon import (
-    PATIENCE_SECONDS,
     SETTINGS,
-    Process,
+    TIMEOUT_SECONDS,
+    HostProcess,
     free_ports,
 )
 from typer.testing import CliRunner
@@ -41,37 +41,37 @@
 class Platform:
     """Run a stand-in store and stand-in minions in a separate thread."""
 
-    def __init__(self, minions=2):
-        self.ports = free_ports(1 + minions)
+    def __init__(self, minion_count=2):
+        self.ports = free_ports(1 + minion_count)
         self._ready = threading.Event()
         self._stopped = threading.Event()
         self._thread = threading.Thread(target=anyio.run, args=(self._run,))
         self._thread.start()
-        assert self._ready.wait(PATIENCE_SECONDS)
+        assert self._ready.wait(TIMEOUT_SECONDS)
 
     async def _run(self):
         clock = LoopClock()
         store = MemoryStore(clock)
         self.book = RunBook(Work(NEEDS, timedelta(milliseconds=40)))
-        places = [self._minion(clock, port) for port in self.ports[1:]]
+        minions = [self._create_minion(clock, port) for port in self.ports[1:]]
         store.put("op/config", json.dumps(CONFIG).encode())
-        for place in places:
-            store.put(f"servers/{place.entry.id}", _entry_text(place.entry))
-        apps = [KvApp(store), *map(LeasedMinionApp, places)]
+        for minion in minions:
+            store.put(f"servers/{minion.entry.id}", _encode_entry(minion.entry))
+        apps = [KvApp(store), *map(LeasedMinionApp, minions)]
         async with anyio.create_task_group() as group:
             for app, port in zip(apps, self.ports, strict=True):
                 settings = uvicorn.Config(app, port=port, log_level="error")
                 server = uvicorn.Server(settings)
-                server.capture_signals = _no_signals
+                server.capture_signals = _NoSignalHandlers
                 group.start_soon(server.serve)
             tick = timedelta(milliseconds=2)
-            group.start_soon(tick_all, lambda: places, clock, tick)
+            group.start_soon(tick_all, lambda: minions, clock, tick)
             self._ready.set()
             while not self._stopped.is_set():
                 await anyio.sleep(0.02)
             group.cancel_scope.cancel()
 
-    def _minion(self, clock, port):
+    def _create_minion(self, clock, port):
         entry = MinionEntry(
             MinionId(f"i-{port}"),
             ServiceName("s"),
@@ -86,10 +86,10 @@
 
     def stop(self):
         self._stopped.set()
-        self._thread.join(PATIENCE_SECONDS)
+        self._thread.join(TIMEOUT_SECONDS)
 
 
-class _no_signals:
+class _NoSignalHandlers:
     def __enter__(self):
         return self
 
@@ -97,7 +97,7 @@
         return None
 
 
-def _entry_text(entry):
+def _encode_entry(entry):
     body = {
         "Service": entry.service,
         "Address": f"{entry.host}:{entry.port}",
@@ -123,7 +123,7 @@
         )
         folder = tmp_path / str(number)
         folder.mkdir()
-        process = Process(folder, text)
+        process = HostProcess(folder, text)
         process.values = values
         processes.append(process)
     yield platform, processes
@@ -147,8 +147,8 @@
     return int(head.split()[1]), json.loads(text or b"{}")
 
 
-def await_ready(processes):
-    deadline = time.monotonic() + PATIENCE_SECONDS
+def wait_until_ready(processes):
+    deadline = time.monotonic() + TIMEOUT_SECONDS
     for process in processes:
         while True:
             try:
@@ -162,7 +162,7 @@
 
 def test_two_hosts_serve_jobs_on_the_minions_of_their_data_centre(system):
     platform, processes = system
-    await_ready(processes)
+    wait_until_ready(processes)
     step = {"Count": 3, "Cpu": 6_800, "MemMb": 64, "EstMs": 40}
     job = {"Spec": "x", "Steps": [step], "BestEffort": True}
     for number in range(6):
@@ -181,7 +181,7 @@
 
 def test_operators_see_who_owns_the_pool(system):
     _, processes = system
-    await_ready(processes)
+    wait_until_ready(processes)
     found = []
     for process in processes:
         url = f"http://127.0.0.1:{process.values['metrics']}"
