--- a/src/brasstray/platform/job_bodies.py
+++ b/src/brasstray/platform/job_bodies.py
@@ -13,7 +13,7 @@
 from brasstray.batch.step import Step
 from brasstray.platform.body import Body, UnreadableBodyError
 
-# Upper bound for one step; the largest job at full load has 1,700 tasks.
+# Upper bound for one step; the largest job at full scale has 1,700 tasks.
 MAX_TASKS_PER_STEP = 10_000
 _NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
--- a/tests/daemon/test_imports.py
+++ b/tests/daemon/test_imports.py
@@ -15,7 +15,7 @@
 """
 
 
-def test_a_host_has_all_it_needs_before_it_is_asked_for_its_status():
+def test_the_first_status_request_imports_nothing():
     # The first request for a host's status used to import pydantic and build models,
     # which blocked the event loop for 0.1 s of processor time, or 0.5 s beside twelve
     # busy processes. After 0.4 s of silence another host takes the pool over, so that
--- a/tests/daemon/test_pool_daemon.py
+++ b/tests/daemon/test_pool_daemon.py
@@ -116,7 +116,7 @@
             time.sleep(0.05)
 
 
-def test_without_a_store_a_host_refuses_and_is_not_ready(start):
+def test_without_a_store_a_host_rejects_jobs_and_is_not_ready(start):
     process = start()
     status, data = get(process.values["callers"], "/any/0123456789abcdef")
     assert status == 503
@@ -133,7 +133,7 @@
     assert b"# TYPE brasstray_reasons_total counter" in data
 
 
-def test_the_settings_are_read_again_at_a_signal(start):
+def test_the_settings_are_reloaded_at_a_signal(start):
     # An operator changes the settings and sends SIGHUP, which terminates a process that
     # has no handler for it. Invalid settings must change nothing.
     process = start()
@@ -159,9 +159,7 @@
         ({"store": 99_999}, "[store] address"),
     ],
 )
-def test_settings_that_are_not_valid_end_the_process_with_the_field(
-    start, changes, told
-):
+def test_invalid_settings_end_the_process_and_name_the_field(start, changes, told):
     process = start(**changes)
     assert process.wait() == 2
     assert told in process.errors()
--- a/tests/daemon/test_pool_timing.py
+++ b/tests/daemon/test_pool_timing.py
@@ -22,5 +22,5 @@
     assert timing.stop_time == timedelta(milliseconds=stop)
 
 
-def test_the_defaults_fit_the_users_platform():
+def test_the_default_settings_give_the_default_timing():
     assert pool_timing(MinionsSection()) == PoolTiming()
--- a/tests/platform/test_bodies.py
+++ b/tests/platform/test_bodies.py
@@ -99,23 +99,23 @@
         (job(Gang=True), UnsupportedJobError),
     ],
 )
-def test_a_job_that_cannot_be_taken_says_why(text, error):
+def test_an_invalid_or_unsupported_job_is_rejected_with_a_reason(text, error):
     with pytest.raises(error, match=r"\w+"):
         parse_job(JOB, text)
 
 
-def test_task_names_are_spelled_as_minions_do():
+def test_task_names_are_formatted_and_parsed():
     name = TaskName(BatchId(JOB), 1, 17)
     assert format_task_name(name) == f"{JOB}.0.1.17"
     assert parse_task_name(format_task_name(name)) == name
 
 
-def test_a_hold_leaves_out_what_it_does_not_ask_for():
+def test_a_hold_request_omits_unset_fields():
     body = json.loads(HoldBody(fencing_token=7, last_seen=0).encode())
     assert body == {"FencingToken": 7, "LastSeen": 0}
 
 
-def test_a_look_is_decoded():
+def test_a_hold_reply_is_decoded():
     running = [[f"{JOB}.0.0.1", 2, "", 41, 6800.5]]
     finished = [[58, f"{JOB}.0.0.2", 1, "alone", ""]]
     text = json.dumps({"ClockMs": 5, "Running": running, "Finished": finished})
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -112,7 +112,7 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None, database=None)
 @given(field=st.sampled_from(sorted(SERVER)), value=VALUES)
-def test_an_entry_with_one_field_of_any_kind_names_a_minion_or_none(field, value):
+def test_an_entry_with_one_arbitrary_field_names_a_minion_or_is_invalid(field, value):
     text = json.dumps(SERVER | {field: value}).encode()
     try:
         found = minion_entry(entry(text))
@@ -139,7 +139,7 @@
         {"Labels": "r1-3"},
     ],
 )
-def test_an_entry_of_another_writer_names_no_minion(changes):
+def test_an_invalid_entry_names_no_minion(changes):
     # Other programs may write entries among those of the minions. Accepting one would
     # send tasks to something that cannot run them; failing the whole listing would make
     # all other minions unknown.
@@ -163,7 +163,7 @@
         minion_entry(entry(json.dumps(SERVER).encode(), name))
 
 
-def test_a_sound_entry_names_a_minion():
+def test_a_valid_entry_names_a_minion():
     found = minion_entry(entry(json.dumps(SERVER).encode()))
     assert (found.id, found.host, found.port) == ("i-1", "10.0.0.1", 80)
     assert found.capacity.cpu_millis == 16_000
--- a/tests/platform/test_operator_entries.py
+++ b/tests/platform/test_operator_entries.py
@@ -48,7 +48,7 @@
         ([("op/wave/1", b'{"Wave": 1}')], None, set(), False),
     ],
 )
-def test_each_kind_of_entry_is_read_beside_the_others(
+def test_each_kind_of_entry_is_read_independently_of_the_others(
     written, version, evacuated, unreadable
 ):
     found, ignored = read(written)
@@ -59,7 +59,7 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"[", b"3", b"null", b"\xff", b"[]"])
-def test_an_entry_that_cannot_be_read_hides_no_other(value):
+def test_an_invalid_entry_hides_no_other(value):
     # Other programs may write entries under the operators' prefix. An invalid entry
     # must not evacuate its data centre, nor hide the evacuation of another one.
     found, ignored = read([("op/evacuate/a", value), ("op/evacuate/b", b"{}")])
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -194,7 +194,7 @@
     assert all(status.owners[0].host == owners[0].host for status in found)
 
 
-def test_a_host_that_is_not_there_is_an_error():
+def test_an_unreachable_host_is_an_error():
     (port,) = free_ports(1)
     result = CliRunner().invoke(app, ["host", f"http://127.0.0.1:{port}"])
     assert result.exit_code == 5
