--- a/src/brasstray/daemon/main.py
+++ b/src/brasstray/daemon/main.py
@@ -1,4 +1,4 @@
-"""Start the daemon from the command line."""
+"""Define the command line of an entry host's daemon, brasstrayd."""
 
 from __future__ import annotations
 
@@ -16,21 +16,21 @@
 
 from brasstray.daemon.daemon import run_daemon
 from brasstray.metrics.metrics import ReadableMetrics
-from brasstray.settings.settings import read_settings
+from brasstray.settings.entry_settings import read_entry_settings
 
-BAD_SETTINGS_STATUS = 2
-CANNOT_LISTEN_STATUS = 3
+EXIT_INVALID_SETTINGS = 2
+EXIT_CANNOT_LISTEN = 3
 
 
 def run(
     settings: Annotated[Path, typer.Option(help="The INI file with the settings.")],
 ) -> None:
-    """Serve as an entry host until SIGTERM; then finish what runs and leave."""
-    match read_settings(settings):
+    """Serve as an entry host until SIGTERM; then finish active jobs and exit."""
+    match read_entry_settings(settings):
         case Err(problems):
             for problem in problems:
                 typer.echo(f"{settings}: {problem}", err=True)
-            raise typer.Exit(BAD_SETTINGS_STATUS)
+            raise typer.Exit(EXIT_INVALID_SETTINGS)
         case Ok(read):
             to_file(sys.stderr)
             logging.getLogger().addHandler(EliotHandler())
@@ -39,11 +39,11 @@
                 anyio.run(partial(run_daemon, read, metrics), backend="asyncio")
             except OSError as error:
                 typer.echo(f"{settings}: cannot listen: {error}", err=True)
-                raise typer.Exit(CANNOT_LISTEN_STATUS) from error
+                raise typer.Exit(EXIT_CANNOT_LISTEN) from error
 
 
 def main() -> None:
-    """Run the program."""
+    """Run the command-line program."""
     typer.run(run)
 
 
--- a/src/brasstray/daemon/pool_daemon.py
+++ b/src/brasstray/daemon/pool_daemon.py
@@ -1,4 +1,4 @@
-"""Run one host of the platform with real sockets."""
+"""Run a host of the platform on real sockets."""
 
 from __future__ import annotations
 
@@ -27,12 +27,12 @@
 from brasstray.job.incarnation import new_incarnation
 from brasstray.log.bounded_output import BoundedOutput
 from brasstray.peer.websocket_stream import WebSocketOpener, serve_streams
-from brasstray.platform.front_app import FrontApp
+from brasstray.platform.job_app import JobApp
+from brasstray.platform.minion_client import MinionClient
 from brasstray.platform.minion_listing import MinionListing
-from brasstray.platform.operator_entries import OperatorStore
-from brasstray.platform.platform_minions import PlatformMinions
-from brasstray.platform.platform_store import PlatformStore
+from brasstray.platform.operator_entries import OperatorEntryReader
 from brasstray.platform.ready_app import ReadyApp
+from brasstray.platform.store_client import StoreClient
 from brasstray.pool.timing import PoolTiming
 from brasstray.settings.pool_settings import read_pool_settings
 
@@ -44,23 +44,23 @@
     from brasstray.metrics.pool_metrics import PoolMetrics
     from brasstray.settings.pool_settings import MinionsSection, PoolSettings
 
-STANDARD_OUTPUT = 1
-# A changed file is in force as soon as a changed configuration must be, 2 s.
-RELOAD_INTERVAL = timedelta(seconds=1)
-# How long callers go on coming after this host has said that it is not ready: the
-# platform asks once a second and takes a host out after two misses.
-ROTATION_TIME = timedelta(seconds=2.5)
-# The share of the longest lease that is asked for: a longer one is cut to the bound,
-# and would be reckoned to end later than it does.
-LEASE_SHARE = 0.8
-# A stop is waited for this many times as long as it may take: there is the way as well.
-STOP_MARGIN = 1.2
-# What is left of the grace period when this host stops waiting for its jobs.
+STDOUT_FD = 1
+# A changed file takes effect within 2 s, as is required of a changed configuration.
+SETTINGS_POLL_INTERVAL = timedelta(seconds=1)
+# How long new requests may still arrive after this host has reported that it is not
+# ready: the platform checks once a second and removes a host after two failed checks.
+DEREGISTRATION_DELAY = timedelta(seconds=2.5)
+# The fraction of the longest lease that is requested. Minions cut a longer lease to
+# their maximum, and the host would then assume that it ends later than it does.
+LEASE_FRACTION = 0.8
+# How many times the minions' stop time a stop is waited for, to cover network latency.
+STOP_TIME_FACTOR = 1.2
+# What remains of the grace period for the exit itself, after waiting for jobs.
 EXIT_MARGIN = timedelta(seconds=0.7)
 
 
 class PoolDaemon:
-    """Own a host, its listeners and its connections."""
+    """Run a host and manage its listeners and connections."""
 
     def __init__(
         self,
@@ -73,7 +73,7 @@
         self._path = path
         self._settings = settings
         self._clock = LoopClock()
-        self._output = BoundedOutput(STANDARD_OUTPUT, self._clock)
+        self._output = BoundedOutput(STDOUT_FD, self._clock)
         section = settings.host
         centre = DataCentreName(section.data_centre)
         name = HostName(section.name)
@@ -85,7 +85,7 @@
             section.peers.port,
             settings.processor.power,
         )
-        self._store = PlatformStore(
+        self._store = StoreClient(
             settings.store.address.address, settings.store.address.port
         )
         events = EventLog(metrics)
@@ -94,9 +94,9 @@
             random,
             uptime,
             self._store,
-            OperatorStore(self._store, events.entry_ignored),
+            OperatorEntryReader(self._store, events.entry_ignored),
             MinionListing(self._store, events.entry_ignored),
-            PlatformMinions(),
+            MinionClient(),
             WebSocketOpener(),
             events,
         )
@@ -105,11 +105,11 @@
             outside,
             HostTiming(pool=pool_timing(settings.minions)),
             settings.minions.remote_factor,
-            section.known_centres,
+            section.known_data_centres,
         )
-        self._front = HttpServer(FrontApp(self._host))
-        self._ready = HttpServer(ReadyApp(self._host))
-        self._metrics = HttpServer(
+        self._job_server = HttpServer(JobApp(self._host))
+        self._readiness_server = HttpServer(ReadyApp(self._host))
+        self._metrics_server = HttpServer(
             MetricsApp(reader, partial(current_status, self._host))
         )
         observe_host(metrics, self._host)
@@ -126,8 +126,8 @@
             group.start_soon(self._output.run)
             group.start_soon(self._host.run)
             group.start_soon(serve_streams, peers, self._host.serve)
-            group.start_soon(self._ready.run, ready)
-            group.start_soon(self._metrics.run, metrics)
+            group.start_soon(self._readiness_server.run, ready)
+            group.start_soon(self._metrics_server.run, metrics)
             group.start_soon(self._drain_on_signal)
             group.start_soon(self._reload_on_signal)
             group.start_soon(self._reload_on_change)
@@ -136,35 +136,35 @@
                 incarnation=self._host.identity.incarnation,
                 peers=f"{section.peers.address}:{section.peers.port}",
             )
-            await self._front.run(callers)
+            await self._job_server.run(callers)
             log_message("brasstray:stopped", jobs_left=self._host.coordinator.active)
             self._output.flush()
             group.cancel_scope.cancel()
 
     async def _reload_on_signal(self) -> None:
         with anyio.open_signal_receiver(signal.SIGHUP) as signals:
-            async for number in signals:
-                log_message("brasstray:signal", signal=number.name)
+            async for signal_number in signals:
+                log_message("brasstray:signal", signal=signal_number.name)
                 self.reload()
 
     async def _reload_on_change(self) -> None:
-        """Reread the settings where their text has changed without a signal."""
-        known = b""
+        """Reload the settings when the file has changed, without a signal."""
+        last_text = b""
         while True:
-            await self._clock.sleep(RELOAD_INTERVAL)
+            await self._clock.sleep(SETTINGS_POLL_INTERVAL)
             try:
                 text = self._path.read_bytes()
             except OSError:
-                # The reader of the settings meets the same error and reports it.
+                # read_pool_settings gets the same error and reports it.
                 text = b""
-            if text != known:
-                known = text
+            if text != last_text:
+                last_text = text
                 self.reload()
 
     def reload(self) -> None:
-        """Put changed settings in force; keep the old ones if the new are not valid.
+        """Apply changed settings, or keep the old ones if the new ones are invalid.
 
-        Names and listeners stay as they are until the next start.
+        Changed names and listeners take effect at the next start.
         """
         match read_pool_settings(self._path):
             case Err(problems):
@@ -174,7 +174,7 @@
             case Ok(settings) if settings != self._settings:
                 store = settings.store.address
                 if store != self._settings.store.address:
-                    self._store.move(store.address, store.port)
+                    self._store.set_address(store.address, store.port)
                 self._settings = settings
                 log_message(
                     "brasstray:settings_reloaded",
@@ -184,35 +184,35 @@
 
     @property
     def _busy(self) -> bool:
-        """Tell whether callers wait here, or minions have nobody else to order them."""
+        """Return whether jobs are active here, or minions have no other owner yet."""
         return bool(self._host.coordinator.active) or self._host.owner is not None
 
     async def _drain_on_signal(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
-            async for number in signals:
-                log_message("brasstray:signal", signal=number.name)
+            async for signal_number in signals:
+                log_message("brasstray:signal", signal=signal_number.name)
                 break
         grace = timedelta(seconds=self._settings.stop.grace_seconds)
-        last = self._clock.monotonic() + grace - EXIT_MARGIN
+        deadline = self._clock.monotonic() + grace - EXIT_MARGIN
         self._host.drain(grace - EXIT_MARGIN)
-        await self._clock.sleep(min(ROTATION_TIME, grace / 2))
-        while self._busy and self._clock.monotonic() < last:
+        await self._clock.sleep(min(DEREGISTRATION_DELAY, grace / 2))
+        while self._busy and self._clock.monotonic() < deadline:
             await self._clock.sleep(timedelta(milliseconds=20))
-        self._front.stop()
+        self._job_server.stop()
 
 
 def pool_timing(minions: MinionsSection) -> PoolTiming:
-    """Return the intervals that fit what minions grant and how fast they stop."""
+    """Derive the lease and stop intervals from the settings of the minions."""
     millisecond = timedelta(milliseconds=1)
     return PoolTiming(
-        lease=minions.lease_ms * millisecond * LEASE_SHARE,
+        lease=minions.lease_ms * millisecond * LEASE_FRACTION,
         longest_lease=minions.lease_ms * millisecond,
-        stop_time=minions.stop_ms * millisecond * STOP_MARGIN,
+        stop_time=minions.stop_ms * millisecond * STOP_TIME_FACTOR,
     )
 
 
 def uptime() -> timedelta:
-    """Return a steady time that goes on while the machine is suspended."""
+    """Return the monotonic time since boot, including time in suspend."""
     return timedelta(seconds=time.clock_gettime(time.CLOCK_BOOTTIME))
 
 
--- a/src/brasstray/platform/configuration_body.py
+++ b/src/brasstray/platform/configuration_body.py
@@ -1,4 +1,4 @@
-"""Decode the operators' configuration."""
+"""Decode the configuration that operators write."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class Route(Body, frozen=True, kw_only=True):
-    """Describe a queue; `slo_ms` is what its objective has beyond the stretch."""
+    """Describe a queue; `slo_ms` is the part of its objective on top of `stretch`."""
 
     name: str
     host: str
@@ -26,8 +26,8 @@
     stretch: float = 1.0
     slo_ms: int = 0
 
-    def queue(self) -> Queue:
-        """Return the route as a queue."""
+    def to_queue(self) -> Queue:
+        """Convert the route to a queue."""
         return Queue(
             QueueName(self.name),
             self.host,
@@ -41,13 +41,13 @@
 
 
 class ServiceBody(Body, frozen=True, kw_only=True):
-    """Describe a service that minions may be of."""
+    """Describe a service that minions may provide."""
 
     name: str
 
 
 class Limits(Body, frozen=True, kw_only=True):
-    """Bound what callers send."""
+    """Limit the size of callers' requests."""
 
     max_body_bytes: int = BodyLimits().body_bytes
 
@@ -62,14 +62,14 @@
 
 
 def parse_configuration(text: bytes) -> Configuration:
-    """Return the configuration in `text`; raise UnreadableConfigError."""
+    """Decode a configuration; raise UnreadableConfigError if it is invalid."""
     try:
         body = ConfigurationBody.decode(text)
     except UnreadableBodyError as error:
         raise UnreadableConfigError(str(error)) from error
     return Configuration(
         ConfigVersion(body.version),
-        tuple(route.queue() for route in body.routes),
+        tuple(route.to_queue() for route in body.routes),
         BodyLimits(body.limits.max_body_bytes),
         text,
         frozenset(ServiceName(service.name) for service in body.services),
--- a/src/brasstray/platform/front_app.py
+++ b/src/brasstray/platform/job_app.py
@@ -1,4 +1,4 @@
-"""Answer callers in the platform's format."""
+"""Serve the callers' HTTP interface in the platform's format."""
 
 from __future__ import annotations
 
@@ -25,32 +25,32 @@
     from brasstray.http.exchange import Receive, Scope, Send
 
 DEADLINE_HEADER = "x-deadline"
-# A caller that says nothing of its timeout is taken to wait as long as most do.
+# The timeout that most callers use, assumed where a request does not state one.
 DEFAULT_TIMEOUT = timedelta(milliseconds=1_500)
 _JOB_ID = re.compile(r"[0-9a-f]{16}")
-_CLOSE = (("connection", "close"),)
-_STATE_OF = {BatchOutcome.SUCCEEDED: "succeeded", BatchOutcome.FAILED: "failed"}
+_CLOSE_CONNECTION = (("connection", "close"),)
+_STATE_BY_OUTCOME = {BatchOutcome.SUCCEEDED: "succeeded", BatchOutcome.FAILED: "failed"}
 
 
-class FrontApp:
-    """Serve the queues of the configuration in force."""
+class JobApp:
+    """Serve the queues of the active configuration."""
 
     def __init__(self, host: PoolHost) -> None:
         self._host = host
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one request; answer nobody if the caller has gone."""
+        """Answer one request; send no response if the caller has disconnected."""
         response = await self._respond(scope, receive)
         if response is None:
             return
         if self._host.draining:
-            # A caller that keeps its connection to a host that leaves would send its
-            # next request into the void.
+            # The next request on a connection that is kept alive would be lost when
+            # this host stops.
             response = HttpResponse(
                 response.status,
                 response.body,
                 response.content_type,
-                (*response.headers, *_CLOSE),
+                (*response.headers, *_CLOSE_CONNECTION),
             )
         await response.send(send)
 
@@ -61,8 +61,8 @@
         if config is None:
             events.request_refused(job, GiveUpReason.NO_CONFIGURATION, "")
             return _refusal(GiveUpReason.NO_CONFIGURATION)
-        host = (header(scope, "host") or "").partition(":")[0]
-        queue = config.queue_for(host, scope["path"])
+        host_name = (header(scope, "host") or "").partition(":")[0]
+        queue = config.queue_for(host_name, scope["path"])
         body = await read_body(receive, config.limits.body_bytes)
         if queue is None:
             events.request_refused(job, GiveUpReason.NO_QUEUE, scope["path"])
@@ -102,14 +102,14 @@
             return json_response(503, {"Reason": str(error)})
         results: list[BatchResult] = []
 
-        async def run(scope_: anyio.CancelScope) -> None:
+        async def run(run_scope: anyio.CancelScope) -> None:
             found = await self._host.run_job(batch, queue, _timeout(scope))
             results.append(found)
-            scope_.cancel()
+            run_scope.cancel()
 
         async with anyio.create_task_group() as group:
             group.start_soon(run, group.cancel_scope)
-            # A caller that hangs up wants nothing more: what runs for it is stopped.
+            # A caller that disconnects needs no answer: stop the tasks of its job.
             while (await receive())["type"] != "http.disconnect":
                 pass
             group.cancel_scope.cancel()
@@ -125,8 +125,8 @@
 
 
 def _answer(result: BatchResult) -> HttpResponse:
-    if result.outcome in _STATE_OF:
-        return json_response(200, {"State": _STATE_OF[result.outcome]})
+    if result.outcome in _STATE_BY_OUTCOME:
+        return json_response(200, {"State": _STATE_BY_OUTCOME[result.outcome]})
     if result.outcome is BatchOutcome.CANCELLED:
         return json_response(410, {})
     if result.outcome is BatchOutcome.NOT_RUN:
@@ -149,4 +149,4 @@
     )
 
 
-__all__ = ["FrontApp"]
+__all__ = ["JobApp"]
--- a/src/brasstray/platform/job_bodies.py
+++ b/src/brasstray/platform/job_bodies.py
@@ -13,36 +13,39 @@
 from brasstray.batch.step import Step
 from brasstray.platform.body import Body, UnreadableBodyError
 
-# The largest job at full size has 1,700 tasks.
-MOST_TASKS = 10_000
-_Count = Annotated[int, msgspec.Meta(ge=0)]
+# Upper bound for one step; the largest job at full scale has 1,700 tasks.
+MAX_TASKS_PER_STEP = 10_000
+_NonNegativeInt = Annotated[int, msgspec.Meta(ge=0)]
 
 
 class UnreadableJobError(Exception):
-    """The body is no job."""
+    """The body is not a valid job."""
 
 
 class UnsupportedJobError(Exception):
-    """The job asks for what this system does not do; nothing of it runs."""
+    """The job requires a feature that is not supported; none of its tasks run."""
 
 
 class StepBody(Body, frozen=True, kw_only=True):
-    """Describe a step; `cpu` counts thousandths of a core, `after` earlier steps."""
+    """Describe a step of a job.
 
-    count: Annotated[int, msgspec.Meta(ge=1, le=MOST_TASKS)] = 1
-    cpu: _Count = 0
-    mem_mb: _Count = 0
-    gpu: _Count = 0
-    est_ms: _Count = 1
+    `cpu` is in thousandths of a core; `after` holds indices of earlier steps.
+    """
+
+    count: Annotated[int, msgspec.Meta(ge=1, le=MAX_TASKS_PER_STEP)] = 1
+    cpu: _NonNegativeInt = 0
+    mem_mb: _NonNegativeInt = 0
+    gpu: _NonNegativeInt = 0
+    est_ms: _NonNegativeInt = 1
     after: list[int] = msgspec.field(default_factory=list)
     data_rack: str = ""
     required_label: str = ""
-    max_per_server: _Count = 0
+    max_per_server: _NonNegativeInt = 0
     gang: bool = False
     target_ms: int = 0
 
-    def step(self, number: int) -> Step:
-        """Return the step; raise UnreadableJobError or UnsupportedJobError."""
+    def to_step(self, number: int) -> Step:
+        """Convert to a step; raise UnreadableJobError or UnsupportedJobError."""
         if any(not 0 <= before < number for before in self.after):
             raise UnreadableJobError(f"step {number} waits for a step not before it")
         if self.gang or self.target_ms:
@@ -59,7 +62,7 @@
 
 
 class JobBody(Body, frozen=True, kw_only=True):
-    """Describe a job; `best_effort` ones are answered when they end, and not stored."""
+    """Describe a job; `best_effort` jobs are not stored, and answered at their end."""
 
     spec: str = ""
     steps: Annotated[list[StepBody], msgspec.Meta(min_length=1)]
@@ -68,16 +71,16 @@
     repeat_count: int = 0
 
 
-def parse_job(batch: str, text: bytes) -> Batch:
-    """Return the job in `text`; raise UnreadableJobError or UnsupportedJobError."""
+def parse_job(job_id: str, text: bytes) -> Batch:
+    """Decode a job; raise UnreadableJobError or UnsupportedJobError."""
     try:
         body = JobBody.decode(text)
     except UnreadableBodyError as error:
         raise UnreadableJobError(str(error)) from error
     if not body.best_effort or body.long_running or body.repeat_count:
         raise UnsupportedJobError("only jobs with BestEffort are served")
-    steps = tuple(step.step(number) for number, step in enumerate(body.steps))
-    return Batch(BatchId(batch), body.spec, steps)
+    steps = tuple(step.to_step(number) for number, step in enumerate(body.steps))
+    return Batch(BatchId(job_id), body.spec, steps)
 
 
 __all__ = ["UnreadableJobError", "UnsupportedJobError", "parse_job"]
--- a/src/brasstray/platform/operator_entries.py
+++ b/src/brasstray/platform/operator_entries.py
@@ -1,4 +1,4 @@
-"""Read what operators write into the platform's store."""
+"""Read the entries that operators write to the platform's store."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
     from datetime import timedelta
 
     from brasstray.batch.configuration import Configuration
-    from brasstray.platform.platform_store import PlatformStore
+    from brasstray.platform.store_client import StoreClient
     from brasstray.store.entry import StoreEntry
 
 OPERATOR_PREFIX = "op/"
@@ -23,35 +23,35 @@
 
 
 class EvacuateBody(Body, frozen=True, kw_only=True):
-    """Ask that the data centre that the key names gets nothing new; no fields yet."""
+    """Request that the data centre named by the key get no new tasks; no fields yet."""
 
 
-class OperatorStore:
-    """Read and watch all that operators write with one call.
+class OperatorEntryReader:
+    """Read and watch all entries of the operators with a single watch.
 
-    One watch more for each host and kind of entry would be a third more calls to the
-    store. A change of one key brings that key alone, so that the configuration does not
-    travel again with another.
+    A watch for each kind of entry would cause a third more calls to the store. A change
+    returns only the keys that changed, so the configuration is not sent again when
+    another entry changes.
     """
 
     def __init__(
-        self, store: PlatformStore, ignored: Callable[[str, str], None]
+        self, store: StoreClient, on_ignored: Callable[[str, str], None]
     ) -> None:
         self._store = store
-        self._ignored = ignored
+        self._on_ignored = on_ignored
 
     async def read(self) -> OperatorEntries:
-        """Return everything."""
+        """Return all current entries."""
         found = await self._store.snapshot(OPERATOR_PREFIX)
         return self._entries(found.entries, (), found.as_of)
 
     async def wait(self, after: int, wait: timedelta) -> OperatorEntries:
-        """Return the next changes after a version, or none after `wait`."""
+        """Return the changes after version `after`, or none once `wait` has passed."""
         changes = await self._store.watch(OPERATOR_PREFIX, after, wait)
         return self._entries(changes.written, changes.removed, changes.as_of)
 
     def parse(self, text: bytes) -> Configuration:
-        """Return the configuration in `text`."""
+        """Decode a configuration; raise UnreadableConfigError if it is invalid."""
         return parse_configuration(text)
 
     def _entries(
@@ -69,30 +69,31 @@
             configuration,
             as_of,
             frozenset(self._evacuated(written)),
-            frozenset(map(_centre, filter(_is_evacuation, removed))),
+            frozenset(map(_data_centre, filter(_is_evacuation, removed))),
             unreadable,
         )
 
     def _evacuated(self, written: tuple[StoreEntry, ...]) -> Iterable[DataCentreName]:
-        """Return the data centres in `written`, without what cannot be read.
+        """Return the evacuated data centres in `written`.
 
-        An entry of another writer must hide neither the others nor a configuration.
+        Invalid entries, as other programs may write, are reported as ignored, so that
+        they hide neither the other entries nor a configuration.
         """
         for entry in filter(lambda entry: _is_evacuation(entry.name), written):
             try:
                 EvacuateBody.decode_strictly(entry.value)
             except UnreadableBodyError as error:
-                self._ignored(entry.name, str(error))
+                self._on_ignored(entry.name, str(error))
             else:
-                yield _centre(entry.name)
+                yield _data_centre(entry.name)
 
 
 def _is_evacuation(key: str) -> bool:
     return key.startswith(EVACUATE_PREFIX)
 
 
-def _centre(key: str) -> DataCentreName:
+def _data_centre(key: str) -> DataCentreName:
     return DataCentreName(key.removeprefix(EVACUATE_PREFIX))
 
 
-__all__ = ["OperatorStore"]
+__all__ = ["OperatorEntryReader"]
--- a/src/brasstray/settings/check.py
+++ b/src/brasstray/settings/check.py
@@ -1,4 +1,4 @@
-"""Check a settings file of either daemon."""
+"""Validate a settings file of either daemon."""
 
 from __future__ import annotations
 
@@ -9,33 +9,33 @@
 
 from result import Err, Ok, Result
 
+from brasstray.settings.entry_settings import read_entry_settings
 from brasstray.settings.pool_settings import POOL_SECTIONS, read_pool_settings
-from brasstray.settings.settings import read_settings
 
 if TYPE_CHECKING:
     from pathlib import Path
 
+    from brasstray.settings.entry_settings import EntrySettings
     from brasstray.settings.pool_settings import PoolSettings
     from brasstray.settings.problem import SettingsProblem
-    from brasstray.settings.settings import Settings
 
 
 class DaemonKind(Enum):
-    """Tell whose settings a file holds."""
+    """Name the daemon that a settings file is for."""
 
     ENTRY_HOST = "an entry host of the own interface"
     POOL_HOST = "a host of the platform"
 
 
 @dataclass(frozen=True)
-class CheckedSettings:
-    """Hold whose settings a file was read as, and what is wrong with them."""
+class SettingsReport:
+    """Hold the daemon that a settings file is for, and the problems found in it."""
 
     daemon: DaemonKind
     problems: tuple[SettingsProblem, ...]
 
     def as_json(self) -> dict[str, object]:
-        """Return what was found, for programs."""
+        """Convert to a JSON object."""
         return {
             "daemon": self.daemon.name.lower(),
             "problems": [
@@ -45,11 +45,11 @@
         }
 
 
-def settings_problems(path: Path) -> CheckedSettings:
-    """Return every problem of the file; its sections tell which daemon it is for."""
+def settings_problems(path: Path) -> SettingsReport:
+    """Validate a file; the names of its sections tell which daemon it is for."""
     if _is_for_pool_host(path):
-        return _checked(DaemonKind.POOL_HOST, read_pool_settings(path))
-    return _checked(DaemonKind.ENTRY_HOST, read_settings(path))
+        return _report(DaemonKind.POOL_HOST, read_pool_settings(path))
+    return _report(DaemonKind.ENTRY_HOST, read_entry_settings(path))
 
 
 def _is_for_pool_host(path: Path) -> bool:
@@ -57,21 +57,21 @@
     try:
         parser.read(path, encoding="utf-8")
     except (UnicodeDecodeError, ConfigParserError):
-        # Whoever reads the file next says what is wrong with it.
+        # The full reader, which runs next, reports the same error as a problem.
         return False
     return any(parser.has_section(name) for name in POOL_SECTIONS)
 
 
-def _checked(
+def _report(
     daemon: DaemonKind,
     found: Result[PoolSettings, list[SettingsProblem]]
-    | Result[Settings, list[SettingsProblem]],
-) -> CheckedSettings:
+    | Result[EntrySettings, list[SettingsProblem]],
+) -> SettingsReport:
     match found:
         case Ok(_):
-            return CheckedSettings(daemon, ())
+            return SettingsReport(daemon, ())
         case Err(problems):
-            return CheckedSettings(daemon, tuple(problems))
+            return SettingsReport(daemon, tuple(problems))
 
 
-__all__ = ["CheckedSettings", "DaemonKind", "settings_problems"]
+__all__ = ["DaemonKind", "SettingsReport", "settings_problems"]
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -1,4 +1,4 @@
-"""Feed arbitrary bytes and JSON to every decoder of the platform's formats."""
+"""Fuzz the decoders of the platform's formats with arbitrary bytes and JSON."""
 
 from __future__ import annotations
 
@@ -21,7 +21,12 @@
 )
 from brasstray.platform.minion_bodies import HoldReply, Reply
 from brasstray.platform.minion_listing import minion_entry
-from brasstray.platform.store_bodies import Committed, Events, Item, Page
+from brasstray.platform.store_bodies import (
+    Item,
+    RangeReply,
+    TransactionReply,
+    WatchReply,
+)
 from brasstray.store.entry import StoreEntry
 
 SERVER = {
@@ -78,15 +83,18 @@
     (lambda text: parse_job("a" * 16, text), (UnreadableJobError, UnsupportedJobError)),
     (parse_configuration, UnreadableConfigError),
     (
-        lambda text: HoldReply.decode(text).probe_reply(),
+        lambda text: HoldReply.decode(text).to_probe_reply(),
         (UnreadableBodyError, ValueError),
     ),
     (Reply.decode, UnreadableBodyError),
     (lambda text: minion_entry(entry(text)), UnreadableBodyError),
-    (lambda text: Item.decode(text).entry(), UnreadableBodyError),
-    (lambda text: [i.entry() for i in Page.decode(text).items], UnreadableBodyError),
-    (Events.decode, UnreadableBodyError),
-    (Committed.decode, UnreadableBodyError),
+    (lambda text: Item.decode(text).to_entry(), UnreadableBodyError),
+    (
+        lambda text: [i.to_entry() for i in RangeReply.decode(text).items],
+        UnreadableBodyError,
+    ),
+    (WatchReply.decode, UnreadableBodyError),
+    (TransactionReply.decode, UnreadableBodyError),
     (lambda text: owned_pool(entry(text)), ValueError),
     (decode_frame, UnreadableMessageError),
 ]
@@ -104,7 +112,7 @@
 
 @settings(max_examples=300, derandomize=True, deadline=None, database=None)
 @given(field=st.sampled_from(sorted(SERVER)), value=VALUES)
-def test_an_entry_with_one_field_of_any_kind_names_a_minion_or_none(field, value):
+def test_an_entry_with_one_arbitrary_field_names_a_minion_or_is_invalid(field, value):
     text = json.dumps(SERVER | {field: value}).encode()
     try:
         found = minion_entry(entry(text))
@@ -131,10 +139,10 @@
         {"Labels": "r1-3"},
     ],
 )
-def test_an_entry_of_another_writer_names_no_minion(changes):
-    # Another program writes into the list of minions. If its entry were taken for a
-    # minion, tasks would be sent to something that does not run them; if it were an
-    # error of the whole list, no other minion would be found any more.
+def test_an_invalid_entry_names_no_minion(changes):
+    # Other programs may write entries among those of the minions. Accepting one would
+    # send tasks to something that cannot run them; failing the whole listing would make
+    # all other minions unknown.
     with pytest.raises(UnreadableBodyError, match=r"\w"):
         minion_entry(entry(json.dumps(SERVER | changes).encode()))
     with pytest.raises(UnreadableBodyError):
@@ -155,7 +163,7 @@
         minion_entry(entry(json.dumps(SERVER).encode(), name))
 
 
-def test_a_sound_entry_names_a_minion():
+def test_a_valid_entry_names_a_minion():
     found = minion_entry(entry(json.dumps(SERVER).encode()))
     assert (found.id, found.host, found.port) == ("i-1", "10.0.0.1", 80)
     assert found.capacity.cpu_millis == 16_000
--- a/tests/platform/test_operator_entries.py
+++ b/tests/platform/test_operator_entries.py
@@ -1,4 +1,4 @@
-"""Check what is read of the operators' entries."""
+"""Test the decoding of the operators' entries in the store."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import anyio
 import pytest
 
-from brasstray.platform.operator_entries import OperatorStore
-from brasstray.platform.store_bodies import Events, Item
+from brasstray.platform.operator_entries import OperatorEntryReader
+from brasstray.platform.store_bodies import Item, WatchReply
 from brasstray.store.entry import StoreEntry
 from brasstray.store.watchable_store import Changes, Snapshot
 
@@ -30,7 +30,7 @@
 
 def read(written, removed=()):
     ignored = []
-    source = OperatorStore(
+    source = OperatorEntryReader(
         Store(written, removed), lambda name, why: ignored.append(name)
     )
     return anyio.run(source.wait, 3, timedelta(seconds=1)), ignored
@@ -48,7 +48,7 @@
         ([("op/wave/1", b'{"Wave": 1}')], None, set(), False),
     ],
 )
-def test_each_kind_of_entry_is_read_beside_the_others(
+def test_each_kind_of_entry_is_read_independently_of_the_others(
     written, version, evacuated, unreadable
 ):
     found, ignored = read(written)
@@ -59,9 +59,9 @@
 
 
 @pytest.mark.parametrize("value", [b"", b"[", b"3", b"null", b"\xff", b"[]"])
-def test_an_entry_that_cannot_be_read_hides_no_other(value):
-    # Another program writes under the operators' names. Nobody asked for that data
-    # centre to be emptied, and one that an operator did ask for must still be seen.
+def test_an_invalid_entry_hides_no_other(value):
+    # Other programs may write entries under the operators' prefix. An invalid entry
+    # must not evacuate its data centre, nor hide the evacuation of another one.
     found, ignored = read([("op/evacuate/a", value), ("op/evacuate/b", b"{}")])
     assert found.evacuated == {"b"}
     assert ignored == ["op/evacuate/a"]
@@ -83,13 +83,14 @@
     ],
 )
 def test_the_last_event_of_a_key_counts(events, written, removed):
-    # An operator empties a data centre, takes it back and empties it again, while a
-    # host's watch is away. Both changes come in one answer: told as written and removed
-    # at once, the data centre would be used while the operator believes it to be empty.
+    # An operator evacuates a data centre, resumes it and evacuates it again between two
+    # watch calls of a host, so that one response holds all changes. If the key counted
+    # as both written and removed, the host could use a data centre that the operator
+    # believes to be evacuated.
     items = [
         Item(key="k", revision=number, removed=event == "gone")
         for number, event in enumerate(events.split())
     ]
-    found = Events(events=items, as_of=9).changes()
+    found = WatchReply(events=items, as_of=9).to_changes()
     assert [entry.name for entry in found.written] == written
     assert list(found.removed) == removed
