--- a/measure/days/__main__.py
+++ b/measure/days/__main__.py
@@ -24,7 +24,7 @@
 
 
 @dataclass(frozen=True)
-class PlayedDay:
+class DayResult:
     """Hold what a day showed; `rules` names the rules that it broke, or is empty."""
 
     day: str
@@ -43,7 +43,7 @@
     return [day for day in days if only in day["name"]]
 
 
-def play(bench: Path, site: Path, day: dict[str, Any], seed: int) -> PlayedDay:
+def play(bench: Path, site: Path, day: dict[str, Any], seed: int) -> DayResult:
     """Play one day by the program `bench` and return what it showed."""
     with tempfile.TemporaryDirectory() as folder:
         text = Path(folder) / f"{day['name']}.toml"
@@ -55,7 +55,7 @@
         if not report.exists():
             lines = (done.stderr or done.stdout).strip().splitlines()
             reason = lines[-1] if lines else f"status {done.returncode}"
-            return PlayedDay(day["name"], f"not played: {reason}", *(0.0,) * 6)
+            return DayResult(day["name"], f"not played: {reason}", *(0.0,) * 6)
         return _played(day["name"], json.loads(report.read_text()))
 
 
@@ -76,13 +76,13 @@
     return "{ " + ", ".join(f"{k} = {json.dumps(v)}" for k, v in fault.items()) + " }"
 
 
-def _played(name: str, report: dict[str, Any]) -> PlayedDay:
+def _played(name: str, report: dict[str, Any]) -> DayResult:
     broken = [f"{rule} {count}" for rule, count in report["breaks"].items()]
     if report["fault"]:
         broken.append(f"fault: {report['fault']}")
     zones = [zone["worth"] for zone in report["zones"]]
     windows = [w["worth"] for w in report["windows"] if w["n"] >= FEWEST_REQUESTS]
-    return PlayedDay(
+    return DayResult(
         name,
         ", ".join(broken),
         report["G"],
--- a/src/brasstray_standins/call_chaos.py
+++ b/src/brasstray_standins/call_chaos.py
@@ -11,7 +11,7 @@
     from random import Random
 
 
-class CallFate(Enum):
+class CallOutcome(Enum):
     """Tell what becomes of a call.
 
     UNANSWERED: it is carried out and its response lost. LATE: it is carried out later,
@@ -32,18 +32,18 @@
     unanswered: float
     longest: timedelta = timedelta(seconds=6)
 
-    def draw(self) -> CallFate:
+    def draw(self) -> CallOutcome:
         """Return the fate of one call."""
         drawn = self.random.random()
         if drawn < self.late:
-            return CallFate.LATE
+            return CallOutcome.LATE
         if drawn < self.late + self.unanswered:
-            return CallFate.UNANSWERED
-        return CallFate.ANSWERED
+            return CallOutcome.UNANSWERED
+        return CallOutcome.ANSWERED
 
     def draw_lateness(self) -> timedelta:
         """Return how long a late call is held back."""
         return self.random.random() * self.longest
 
 
-__all__ = ["CallChaos", "CallFate"]
+__all__ = ["CallChaos", "CallOutcome"]
--- a/src/brasstray_standins/gate.py
+++ b/src/brasstray_standins/gate.py
@@ -68,7 +68,7 @@
         await self._gate.wait()
 
 
-class Gated:
+class GatedProxy:
     """Wait for a gate before and after every method call on an object."""
 
     def __init__(self, target: Any, gate: Gate) -> None:
@@ -88,4 +88,4 @@
         return gated
 
 
-__all__ = ["Gate", "Gated", "GatedClock"]
+__all__ = ["Gate", "GatedClock", "GatedProxy"]
--- a/src/brasstray_standins/leased_minion.py
+++ b/src/brasstray_standins/leased_minion.py
@@ -31,7 +31,7 @@
 
 
 @dataclass
-class StandInRun:
+class SimulatedRun:
     """Hold a run, the work it has left at `checked`, and how it will end."""
 
     task: TaskName
@@ -54,7 +54,7 @@
 
 
 @dataclass(frozen=True)
-class NotedStart:
+class RecordedStart:
     """Say which task began on which minion, and when."""
 
     task: TaskName
@@ -73,7 +73,7 @@
     usual: Work
     works: dict[TaskName, Work] = field(default_factory=dict)
     active: dict[TaskName, list[str]] = field(default_factory=dict)
-    noted: list[NotedStart] = field(default_factory=list)
+    noted: list[RecordedStart] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
 
     @property
@@ -111,7 +111,7 @@
         self._clock_rate = clock_rate
         self._token = FencingToken(0)
         self._until_ms = 0
-        self._runs: dict[TaskName, StandInRun] = {}
+        self._runs: dict[TaskName, SimulatedRun] = {}
         self._highest: dict[TaskName, RunNumber] = {}
         self._ends: list[EndedRun] = []
         self._numbers = 0
@@ -128,7 +128,7 @@
         return set(self._runs)
 
     @property
-    def runs(self) -> list[StandInRun]:
+    def runs(self) -> list[SimulatedRun]:
         """Return the runs at work, whose work may be changed."""
         return list(self._runs.values())
 
@@ -155,13 +155,13 @@
             elif expired:
                 self._end(run, RunEnd.EXPIRED)
 
-    def _end(self, run: StandInRun, end: RunEnd) -> None:
+    def _end(self, run: SimulatedRun, end: RunEnd) -> None:
         self._leave(run)
         self._numbers += 1
         self._ends.append(EndedRun(self._numbers, run.task, run.run, end))
         self._ended.set()
 
-    def _leave(self, run: StandInRun) -> None:
+    def _leave(self, run: SimulatedRun) -> None:
         del self._runs[run.task]
         self._book.active[run.task].remove(str(self.entry.id))
 
@@ -224,8 +224,8 @@
             self._book.broken.append(f"{task} on {self.entry.id} and {others}")
         others.append(str(self.entry.id))
         now = self._clock.monotonic()
-        self._book.noted.append(NotedStart(task, self.entry, now))
-        self._runs[task] = StandInRun(
+        self._book.noted.append(RecordedStart(task, self.entry, now))
+        self._runs[task] = SimulatedRun(
             task,
             run,
             work.needs,
@@ -272,4 +272,11 @@
             minion.tick()
 
 
-__all__ = ["LeasedMinion", "NotedStart", "RunBook", "StandInRun", "Work", "tick_all"]
+__all__ = [
+    "LeasedMinion",
+    "RecordedStart",
+    "RunBook",
+    "SimulatedRun",
+    "Work",
+    "tick_all",
+]
--- a/src/brasstray_standins/leased_minions.py
+++ b/src/brasstray_standins/leased_minions.py
@@ -10,7 +10,7 @@
 import anyio
 
 from brasstray.pool.errors import MinionSilentError
-from brasstray_standins.call_chaos import CallChaos, CallFate
+from brasstray_standins.call_chaos import CallChaos, CallOutcome
 from brasstray_standins.gate import Gate
 
 if TYPE_CHECKING:
@@ -167,7 +167,7 @@
         await self._gate.wait()
         self.calls[minion.id] += 1
         fate = self.chaos.draw()
-        if fate is CallFate.LATE:
+        if fate is CallOutcome.LATE:
             lateness = self.chaos.draw_lateness()
             await self._hold_back(minion, act, timeout, lateness)
         with anyio.move_on_after(timeout.total_seconds()):
@@ -182,7 +182,7 @@
             if self.swallowed > 0:
                 self.swallowed -= 1
                 await anyio.sleep_forever()
-            if fate is CallFate.UNANSWERED:
+            if fate is CallOutcome.UNANSWERED:
                 await anyio.sleep_forever()
             await self._clock.sleep(ONE_WAY)
             if minion.id not in self.cut:
--- a/src/brasstray_standins/memory_network.py
+++ b/src/brasstray_standins/memory_network.py
@@ -79,7 +79,7 @@
         arrived = Envelope.decode(data)
         if arrived.receiver not in (None, host.config.incarnation):
             raise PeerNotReachedError(f"{arrived.receiver} does not run")
-        exchange = _Exchange(arrived)
+        exchange = _PendingCall(arrived)
         group.start_soon(exchange.run, host, gate)
         with anyio.move_on_after(patience.total_seconds()):
             await exchange.ended.wait()
@@ -97,7 +97,7 @@
         return frozenset((one, other)) in self._cut
 
 
-class _Exchange:
+class _PendingCall:
     def __init__(self, call: Envelope) -> None:
         self._call = call
         self.reply: Envelope | None = None
--- a/src/brasstray_standins/memory_platform.py
+++ b/src/brasstray_standins/memory_platform.py
@@ -10,7 +10,7 @@
 from brasstray.store.entry import StoreEntry
 from brasstray.store.errors import StoreConflictError, StoreUnavailableError
 from brasstray.store.store import ABSENT
-from brasstray_standins.switches import PlatformSwitches
+from brasstray_standins.platform_faults import PlatformFaults
 
 if TYPE_CHECKING:
     from datetime import timedelta
@@ -27,7 +27,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._switches = PlatformSwitches()
+        self._switches = PlatformFaults()
         self._entries: dict[str, StoreEntry] = {}
         self._lease_of: dict[str, int] = {}
         self._lease_ends: dict[int, timedelta] = {}
@@ -39,7 +39,7 @@
         self._calls = 0
 
     @property
-    def switches(self) -> PlatformSwitches:
+    def switches(self) -> PlatformFaults:
         """Return the faults that can be turned on."""
         return self._switches
 
--- a/src/brasstray_standins/memory_store.py
+++ b/src/brasstray_standins/memory_store.py
@@ -19,7 +19,7 @@
     from collections.abc import Iterable
 
     from brasstray.clock.clock import Clock
-    from brasstray_standins.narrow_link import NarrowLink
+    from brasstray_standins.rate_limited_link import RateLimitedLink
 
 DELAY = timedelta(milliseconds=4)
 # Values come as base64 text.
@@ -106,7 +106,7 @@
     """Reach a store as one host does."""
 
     def __init__(
-        self, store: MemoryStore, host: str, clock: Clock, link: NarrowLink
+        self, store: MemoryStore, host: str, clock: Clock, link: RateLimitedLink
     ) -> None:
         self._store = store
         self._host = host
--- a/src/brasstray_standins/memory_streams.py
+++ b/src/brasstray_standins/memory_streams.py
@@ -10,7 +10,7 @@
 
 from brasstray.peer.message_stream import NobodyListensError, StreamClosedError
 from brasstray.peer.pool_messages import decode_frame, encode_frame
-from brasstray_standins.narrow_link import NarrowLink
+from brasstray_standins.rate_limited_link import RateLimitedLink
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -26,7 +26,7 @@
 OPEN_TIMEOUT = timedelta(milliseconds=400)
 
 
-class Network:
+class StreamNetwork:
     """Know where hosts listen and which of them are cut off from one another.
 
     A connection that was cut stays silent after the cut has healed; new ones work.
@@ -39,7 +39,7 @@
     ) -> None:
         self._clock = clock
         self._rate = rate
-        self._links: dict[tuple[str, bool], NarrowLink] = {}
+        self._links: dict[tuple[str, bool], RateLimitedLink] = {}
         self.listening: dict[str, PoolHost] = {}
         self.groups: dict[str, int] = {}
         self.streams: list[MemoryStream] = []
@@ -53,18 +53,18 @@
             if not self.connected(stream.here, stream.there):
                 stream.silent = True
 
-    def link_from(self, machine: str) -> NarrowLink:
+    def link_from(self, machine: str) -> RateLimitedLink:
         """Return what carries the bytes that `machine` sends."""
         return self._link(machine, outwards=True)
 
-    def link_to(self, machine: str) -> NarrowLink:
+    def link_to(self, machine: str) -> RateLimitedLink:
         """Return what carries the bytes that `machine` receives."""
         return self._link(machine, outwards=False)
 
-    def _link(self, machine: str, *, outwards: bool) -> NarrowLink:
+    def _link(self, machine: str, *, outwards: bool) -> RateLimitedLink:
         key = machine, outwards
         if key not in self._links:
-            self._links[key] = NarrowLink(self._clock, self._rate(machine))
+            self._links[key] = RateLimitedLink(self._clock, self._rate(machine))
         return self._links[key]
 
     def connected(self, one: str, other: str) -> bool:
@@ -83,7 +83,7 @@
 
     def __init__(
         self,
-        network: Network,
+        network: StreamNetwork,
         here: str,
         there: str,
         clock: Clock,
@@ -137,10 +137,12 @@
             self._network.streams.remove(self)
 
 
-class MemoryOpener:
+class MemoryStreamOpener:
     """Open connections from one host."""
 
-    def __init__(self, network: Network, here: str, clock: Clock, gate: Gate) -> None:
+    def __init__(
+        self, network: StreamNetwork, here: str, clock: Clock, gate: Gate
+    ) -> None:
         self._network = network
         self._here = here
         self._clock = clock
@@ -181,4 +183,4 @@
         return near
 
 
-__all__ = ["MemoryOpener", "MemoryStream", "Network"]
+__all__ = ["MemoryStream", "MemoryStreamOpener", "StreamNetwork"]
--- a/src/brasstray_standins/memory_system.py
+++ b/src/brasstray_standins/memory_system.py
@@ -24,7 +24,7 @@
 from brasstray.store.errors import StoreUnavailableError
 from brasstray.store.host_kind import HostKind
 from brasstray.store.listed_host import ListedHost
-from brasstray_standins.gate import Gate, Gated, GatedClock
+from brasstray_standins.gate import Gate, GatedClock, GatedProxy
 from brasstray_standins.memory_minions import MemoryMinions
 from brasstray_standins.memory_network import MemoryNetwork
 from brasstray_standins.memory_platform import MemoryPlatform
@@ -142,14 +142,14 @@
             timing=replace(self._timing),
         )
         gate = self._gates[name] = Gate()
-        platform = Gated(_PlatformView(self, name), gate)
+        platform = GatedProxy(_PlatformView(self, name), gate)
         around = Surroundings(
             GatedClock(self.clock, gate),
             random,
             platform,
             platform,
-            Gated(self.network.peers_of(config.incarnation, name), gate),
-            Gated(self.starts, gate),
+            GatedProxy(self.network.peers_of(config.incarnation, name), gate),
+            GatedProxy(self.starts, gate),
             self.counts.metrics(name),
         )
         host = EntryHost(config, around)
--- a/src/brasstray_standins/switches.py
+++ b/src/brasstray_standins/platform_faults.py
@@ -7,7 +7,7 @@
 
 
 @dataclass
-class PlatformSwitches:
+class PlatformFaults:
     """Turn faults of the platform on and off."""
 
     down: bool = False
@@ -16,4 +16,4 @@
     freeze_list: bool = False
 
 
-__all__ = ["PlatformSwitches"]
+__all__ = ["PlatformFaults"]
--- a/src/brasstray_standins/pool_system.py
+++ b/src/brasstray_standins/pool_system.py
@@ -30,7 +30,11 @@
 from brasstray_standins.leased_minion import LeasedMinion, RunBook, Work, tick_all
 from brasstray_standins.leased_minions import LeasedMinions
 from brasstray_standins.memory_store import MemoryStore, StoreView
-from brasstray_standins.memory_streams import MemoryOpener, MemoryStream, Network
+from brasstray_standins.memory_streams import (
+    MemoryStream,
+    MemoryStreamOpener,
+    StreamNetwork,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -70,7 +74,7 @@
     minion_clock_rate: float = 1.0
 
 
-class _StoreOperators:
+class _StoreOperatorSource:
     """Read a configuration that holds a version only, and evacuations."""
 
     def __init__(self, store: StoreView) -> None:
@@ -179,7 +183,7 @@
         self.clock = LoopClock()
         self.random = Random(self.seed)
         self.store = MemoryStore(self.clock)
-        self.network = Network(self.clock, self._link_rate)
+        self.network = StreamNetwork(self.clock, self._link_rate)
         self.book = RunBook(Work(USUAL_NEEDS, USUAL_DURATION))
         self.places: dict[MinionId, LeasedMinion] = {}
         self.listed: list[MinionEntry] = []
@@ -263,10 +267,10 @@
             self.random,
             self.clock.monotonic,
             view,
-            _StoreOperators(view),
+            _StoreOperatorSource(view),
             _MinionList(view, self),
             calls,
-            MemoryOpener(self.network, name, clock, gate),
+            MemoryStreamOpener(self.network, name, clock, gate),
             EventLog(self.metrics),
         )
         centres = frozenset(map(DataCentreName, self.centres))
--- a/src/brasstray_standins/narrow_link.py
+++ b/src/brasstray_standins/rate_limited_link.py
@@ -12,7 +12,7 @@
 TURN_BYTES = 3_000
 
 
-class NarrowLink:
+class RateLimitedLink:
     """Stand in for one direction of a machine's network link.
 
     `rate` is in bytes a second; None takes no time.
@@ -44,4 +44,4 @@
             await self._clock.sleep(self._free_at - now)
 
 
-__all__ = ["NarrowLink"]
+__all__ = ["RateLimitedLink"]
