--- a/measure/__main__.py
+++ b/measure/__main__.py
@@ -11,7 +11,7 @@
 from measure.pages import fill
 from measure.table import as_json, markdown
 
-NAMES = (
+MEASUREMENTS = (
     "journal",
     "routing",
     "faults",
@@ -34,13 +34,13 @@
 ) -> None:
     """Run a measurement and print its table."""
     if name == "list":
-        for known in NAMES:
-            doc = import_module(f"measure.{known}").__doc__ or ""
-            typer.echo(f"{known}: {doc.splitlines()[0]}")
+        for measurement in MEASUREMENTS:
+            doc = import_module(f"measure.{measurement}").__doc__ or ""
+            typer.echo(f"{measurement}: {doc.splitlines()[0]}")
     elif name == "fill" and page is not None:
         page.write_text(fill(page.read_text(), _table))
-    elif name not in NAMES:
-        typer.echo(f"{name}: not one of {', '.join(NAMES)}", err=True)
+    elif name not in MEASUREMENTS:
+        typer.echo(f"{name}: not one of {', '.join(MEASUREMENTS)}", err=True)
         raise typer.Exit(2)
     elif json:
         typer.echo(as_json(import_module(f"measure.{name}").run(seed)))
--- a/measure/capacity.py
+++ b/measure/capacity.py
@@ -34,7 +34,7 @@
 HOST_COUNTS = (4, 8, 16, 24)
 MINION_COUNTS = (32, 128, 333)
 BIND_COUNTS = (1_000, 4_000, 10_000)
-BATCH = 100
+COMMIT_BATCH_SIZE = 100
 KEY_COUNTS = (5_000, 20_000, 50_000)
 IDLE_SECONDS = 20.0
 SLOTS = 8
@@ -62,30 +62,35 @@
     platform_calls: float
 
 
-async def _idle(seed: int, hosts: int, minions: int) -> IdleCost:
+async def _measure_idle(seed: int, hosts: int, minions: int) -> IdleCost:
     async with anyio.create_task_group() as group:
         system = MemorySystem(group, SystemSize(1, hosts, minions, SLOTS), seed)
         system.start_all()
         await system.settle()
-        calls = system.network.calls.total()
-        sent = system.network.bytes.total()
-        reads, begun = system.platform.calls, time.process_time()
+        messages_before = system.network.calls.total()
+        bytes_before = system.network.bytes.total()
+        calls_before, started_at = system.platform.calls, time.process_time()
         await system.clock.sleep(timedelta(seconds=IDLE_SECONDS))
-        spent = time.process_time() - begun
-        each = hosts * IDLE_SECONDS
+        cpu_seconds = time.process_time() - started_at
+        host_seconds = hosts * IDLE_SECONDS
         cost = IdleCost(
             # A call is sent by one host and answered by another.
-            messages=2 * (system.network.calls.total() - calls) / each,
-            kilobytes=2 * (system.network.bytes.total() - sent) / each / 1_000,
-            cpu_ms=spent / each * 1_000,
-            platform_calls=(system.platform.calls - reads) / each,
+            messages=2
+            * (system.network.calls.total() - messages_before)
+            / host_seconds,
+            kilobytes=2
+            * (system.network.bytes.total() - bytes_before)
+            / host_seconds
+            / 1_000,
+            cpu_ms=cpu_seconds / host_seconds * 1_000,
+            platform_calls=(system.platform.calls - calls_before) / host_seconds,
         )
         system.end()
         group.cancel_scope.cancel()
     return cost
 
 
-def _fit(what: str, unit: str, points: dict[int, float]) -> SlopeRow:
+def _fit_line(what: str, unit: str, points: dict[int, float]) -> SlopeRow:
     xs, ys = list(points), list(points.values())
     slope, intercept = numpy.polyfit(xs, ys, 1)
     errors = [abs(intercept + slope * x - y) for x, y in points.items()]
@@ -118,9 +123,9 @@
     for number in range(count):
         for record in _record_pair(number):
             state.apply(record)
-    held, _ = tracemalloc.get_traced_memory()
+    used, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return held / 1e6
+    return used / 1e6
 
 
 def _segment_bytes(count: int) -> float:
@@ -136,7 +141,7 @@
     return len(segment.model_dump_json()) / 1e6
 
 
-async def _bind_many(count: int) -> float:
+async def _commit_cpu_seconds(count: int) -> float:
     clock = LoopClock(STARTED)
     platform = MemoryPlatform(clock)
     journal = Journal(platform, DataCentreName("utrecht-a"))
@@ -145,70 +150,73 @@
         leader = await takeover.run(IncarnationId("utrecht-a.entry-0.1"), 0)
         group.start_soon(leader.writer.run)
         pairs = [_record_pair(number) for number in range(count)]
-        begun = time.process_time()
-        for first in range(0, count, BATCH):
+        started_at = time.process_time()
+        for first in range(0, count, COMMIT_BATCH_SIZE):
             async with anyio.create_task_group() as batch:
-                for bound, _ in pairs[first : first + BATCH]:
+                for bound, _ in pairs[first : first + COMMIT_BATCH_SIZE]:
                     batch.start_soon(leader.bind, bound)
-        spent = time.process_time() - begun
+        cpu_seconds = time.process_time() - started_at
         group.cancel_scope.cancel()
-    return spent
+    return cpu_seconds
 
 
 def run(seed: int) -> list[SlopeRow]:
     """Return a row for each slope."""
 
     def idle(hosts: int, minions: int) -> IdleCost:
-        return run_virtual(seed, lambda: _idle(seed, hosts, minions))
+        return run_virtual(seed, lambda: _measure_idle(seed, hosts, minions))
 
     by_hosts = {hosts: idle(hosts, 64) for hosts in HOST_COUNTS}
     by_minions = {minions: idle(8, minions) for minions in MINION_COUNTS}
 
-    def over(costs: dict[int, IdleCost], pick: Callable[[IdleCost], float]):
+    def values_by_size(costs: dict[int, IdleCost], pick: Callable[[IdleCost], float]):
         return {x: pick(cost) for x, cost in costs.items()}
 
     return [
-        _fit(
+        _fit_line(
             "leader's CPU, by records committed in batches of 100",
             "s",
-            {n: run_virtual(seed, partial(_bind_many, n)) for n in BIND_COUNTS},
+            {
+                n: run_virtual(seed, partial(_commit_cpu_seconds, n))
+                for n in BIND_COUNTS
+            },
         ),
-        _fit(
+        _fit_line(
             "control messages per host and second, by hosts in the data centre",
             "messages/s",
-            over(by_hosts, lambda cost: cost.messages),
+            values_by_size(by_hosts, lambda cost: cost.messages),
         ),
-        _fit(
+        _fit_line(
             "control bytes per host and second, by hosts",
             "KB/s",
-            over(by_hosts, lambda cost: cost.kilobytes),
+            values_by_size(by_hosts, lambda cost: cost.kilobytes),
         ),
-        _fit(
+        _fit_line(
             "control CPU per host and second, by hosts, without sockets",
             "ms/s",
-            over(by_hosts, lambda cost: cost.cpu_ms),
+            values_by_size(by_hosts, lambda cost: cost.cpu_ms),
         ),
-        _fit(
+        _fit_line(
             "platform calls per host and second, by hosts",
             "calls/s",
-            over(by_hosts, lambda cost: cost.platform_calls),
+            values_by_size(by_hosts, lambda cost: cost.platform_calls),
         ),
-        _fit(
+        _fit_line(
             "control bytes per host and second, by minions, 8 hosts",
             "KB/s",
-            over(by_minions, lambda cost: cost.kilobytes),
+            values_by_size(by_minions, lambda cost: cost.kilobytes),
         ),
-        _fit(
+        _fit_line(
             "control CPU per host and second, by minions, 8 hosts, without sockets",
             "ms/s",
-            over(by_minions, lambda cost: cost.cpu_ms),
+            values_by_size(by_minions, lambda cost: cost.cpu_ms),
         ),
-        _fit(
+        _fit_line(
             "leader's memory, by keys remembered with binding and answer",
             "MB",
             {count: _journal_bytes(count) for count in KEY_COUNTS},
         ),
-        _fit(
+        _fit_line(
             "journal's size in the platform, by keys",
             "MB",
             {count: _segment_bytes(count) for count in KEY_COUNTS},
--- a/measure/daemon_cpu.py
+++ b/measure/daemon_cpu.py
@@ -24,7 +24,7 @@
 RUN_MS = 20
 SLOTS = 8
 PLATFORM_PORT, PEER_PORT, CALLER_PORT = 17_000, 17_001, 17_002
-_TICKS = os.sysconf("SC_CLK_TCK")
+_TICKS_PER_SECOND = os.sysconf("SC_CLK_TCK")
 _SETTINGS = """
 [entry]
 data_centre = utrecht-a
@@ -39,7 +39,7 @@
 """
 
 
-def settings_of(number: int, callers: int, peers: int, platform: int) -> str:
+def entry_settings(number: int, callers: int, peers: int, platform: int) -> str:
     """Return the settings of an entry host, given its number and the ports."""
     return _SETTINGS.format(
         number=number, callers=callers, peers=peers, platform=platform
@@ -60,7 +60,7 @@
 def cpu_seconds(pid: int) -> float:
     """Return the processor time of process `pid` so far, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
-    return (int(fields[11]) + int(fields[12])) / _TICKS
+    return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
 
 def memory_mb(pid: int) -> float:
@@ -100,8 +100,8 @@
             url = f"http://127.0.0.1:{CALLER_PORT}/v1/status"
             with urllib.request.urlopen(url, timeout=5) as reply:
                 page = json.load(reply)
-            held = sum(minion["credits"] for minion in page["minions"])
-            if held >= slots and page["journal"]["leader"]:
+            credits = sum(minion["credits"] for minion in page["minions"])
+            if credits >= slots and page["journal"]["leader"]:
                 return
         except OSError:
             pass
@@ -118,7 +118,7 @@
     job = {"service": "verlofdienst", "period": "p", "tasks": [task] * TASKS}
     body = json.dumps(job).encode()
     with tempfile.NamedTemporaryFile("w", suffix=".ini") as settings:
-        settings.write(settings_of(0, CALLER_PORT, PEER_PORT, PLATFORM_PORT))
+        settings.write(entry_settings(0, CALLER_PORT, PEER_PORT, PLATFORM_PORT))
         settings.flush()
         stand_ins = (
             *("-m", "brasstray_standins", "--platform", str(PLATFORM_PORT)),
@@ -129,18 +129,18 @@
             running(daemon, "--settings", settings.name) as process,
         ):
             _wait_for_credits(minions * SLOTS)
-            before, begun = cpu_seconds(process.pid), time.monotonic()
+            before, started_at = cpu_seconds(process.pid), time.monotonic()
             for number in range(JOBS):
                 key = f"own~{expires:%Y%m%dT%H%M%SZ}~utrecht-a~job-{number}"
                 answer = post("/v1/jobs", body, key)
                 assert answer["outcome"] == "complete", answer
-            spent = cpu_seconds(process.pid) - before
-            seconds = time.monotonic() - begun
+            used = cpu_seconds(process.pid) - before
+            seconds = time.monotonic() - started_at
             tasks = JOBS * TASKS
             return CpuRow(
                 minions * SLOTS,
                 tasks,
-                spent / tasks * 1_000,
+                used / tasks * 1_000,
                 tasks / seconds,
                 memory_mb(process.pid),
             )
@@ -152,4 +152,4 @@
     return [measure(connections) for connections in CONNECTIONS]
 
 
-__all__ = ["CpuRow", "cpu_seconds", "memory_mb", "run", "running", "settings_of"]
+__all__ = ["CpuRow", "cpu_seconds", "entry_settings", "memory_mb", "run", "running"]
--- a/measure/days/__main__.py
+++ b/measure/days/__main__.py
@@ -18,9 +18,9 @@
 CATALOGUE = Path(__file__).parent / "troubles.toml"
 # Long enough for a trouble at 6 s, its end, and a quiet time after it that shows
 # whether service comes back.
-LENGTH_S = 22.0
+DURATION_S = 22.0
 # A window with fewer requests tells nothing: one of them would make the minimum.
-FEWEST_REQUESTS = 20
+MIN_REQUESTS = 20
 
 
 @dataclass(frozen=True)
@@ -43,7 +43,7 @@
     return [day for day in days if only in day["name"]]
 
 
-def play(bench: Path, site: Path, day: dict[str, Any], seed: int) -> DayResult:
+def run_day(bench: Path, site: Path, day: dict[str, Any], seed: int) -> DayResult:
     """Play one day by the program `bench` and return what it showed."""
     with tempfile.TemporaryDirectory() as folder:
         text = Path(folder) / f"{day['name']}.toml"
@@ -56,7 +56,7 @@
             lines = (done.stderr or done.stdout).strip().splitlines()
             reason = lines[-1] if lines else f"status {done.returncode}"
             return DayResult(day["name"], f"not played: {reason}", *(0.0,) * 6)
-        return _played(day["name"], json.loads(report.read_text()))
+        return _day_result(day["name"], json.loads(report.read_text()))
 
 
 def _day_text(day: dict[str, Any], seed: int) -> str:
@@ -64,27 +64,27 @@
         f"name = {json.dumps(day['name'])}",
         'slot = "trouble"',
         f"seed = {day['seed'] + seed}",
-        f"length_s = {LENGTH_S}",
+        f"length_s = {DURATION_S}",
         "faults = [",
-        *("  " + _inline(fault) + "," for fault in day["faults"]),
+        *("  " + _inline_table(fault) + "," for fault in day["faults"]),
         "]",
     ]
     return "\n".join(lines) + "\n"
 
 
-def _inline(fault: dict[str, Any]) -> str:
+def _inline_table(fault: dict[str, Any]) -> str:
     return "{ " + ", ".join(f"{k} = {json.dumps(v)}" for k, v in fault.items()) + " }"
 
 
-def _played(name: str, report: dict[str, Any]) -> DayResult:
-    broken = [f"{rule} {count}" for rule, count in report["breaks"].items()]
+def _day_result(name: str, report: dict[str, Any]) -> DayResult:
+    violations = [f"{rule} {count}" for rule, count in report["breaks"].items()]
     if report["fault"]:
-        broken.append(f"fault: {report['fault']}")
+        violations.append(f"fault: {report['fault']}")
     zones = [zone["worth"] for zone in report["zones"]]
-    windows = [w["worth"] for w in report["windows"] if w["n"] >= FEWEST_REQUESTS]
+    windows = [w["worth"] for w in report["windows"] if w["n"] >= MIN_REQUESTS]
     return DayResult(
         name,
-        ", ".join(broken),
+        ", ".join(violations),
         report["G"],
         report["served"],
         report["refused"],
@@ -105,7 +105,7 @@
     """Play every day on `site`; end with status 1 if one broke a rule."""
     days = read_days(only)
     with ThreadPoolExecutor(jobs) as pool:
-        rows = list(pool.map(lambda day: play(bench, site, day, seed), days))
+        rows = list(pool.map(lambda day: run_day(bench, site, day, seed), days))
     typer.echo(as_json(rows) if json_ else markdown(rows))
     if any(row.rules for row in rows):
         raise typer.Exit(1)
--- a/measure/faults.py
+++ b/measure/faults.py
@@ -24,7 +24,7 @@
 LOAD = 0.8
 SECONDS = 6.0
 FAULT_AT = timedelta(seconds=2)
-COMPARED = ("naive", "two choices", "credits, shortest left")
+COMPARED_POLICIES = ("naive", "two choices", "credits, shortest left")
 
 
 @dataclass(frozen=True)
@@ -57,12 +57,12 @@
     system.minions["dc-0-minion-0"].die()
 
 
-async def stragglers(system: MemorySystem) -> None:
+async def slow_minion(system: MemorySystem) -> None:
     """One minion of eight is ten times slow."""
     system.minions["dc-0-minion-0"].slowness = 10.0
 
 
-async def restart(system: MemorySystem) -> None:
+async def killed_host(system: MemorySystem) -> None:
     """A third of the entry hosts is killed and comes back after a second."""
     await system.clock.sleep(FAULT_AT)
     name = system.bystander().config.host
@@ -71,7 +71,7 @@
     system.start(name)
 
 
-async def drain(system: MemorySystem) -> None:
+async def drained_host(system: MemorySystem) -> None:
     """A third of the entry hosts leaves gracefully and comes back."""
     await system.clock.sleep(FAULT_AT)
     host = system.bystander()
@@ -80,7 +80,7 @@
     system.start(host.config.host)
 
 
-async def cancel_wave(system: MemorySystem) -> None:
+async def cancel_all_jobs(system: MemorySystem) -> None:
     """Every job that runs is cancelled at once, at another host."""
     await system.clock.sleep(FAULT_AT)
     async with anyio.create_task_group() as group:
@@ -108,10 +108,10 @@
     "none": no_fault,
     "a minion fails everything": failing_minion,
     "a minion dies": dead_minion,
-    "a minion is 10 times slow": stragglers,
-    "a third of the hosts is killed": restart,
-    "a third of the hosts leaves": drain,
-    "all running jobs are cancelled": cancel_wave,
+    "a minion is 10 times slow": slow_minion,
+    "a third of the hosts is killed": killed_host,
+    "a third of the hosts leaves": drained_host,
+    "all running jobs are cancelled": cancel_all_jobs,
     "the platform is down for 3 s": platform_down,
 }
 
@@ -135,7 +135,9 @@
 def run(seed: int) -> list[FaultRow]:
     """Return a row for each fault and policy, on the same stream of jobs."""
     cases = [
-        (VAKANTIEHUIS, fault, policy, seed) for fault in FAULTS for policy in COMPARED
+        (VAKANTIEHUIS, fault, policy, seed)
+        for fault in FAULTS
+        for policy in COMPARED_POLICIES
     ]
     with ProcessPoolExecutor(WORKERS) as workers:
         return list(workers.map(_row, *zip(*cases, strict=True)))
--- a/measure/ideal.py
+++ b/measure/ideal.py
@@ -18,7 +18,7 @@
     arrivals = sorted(jobs, key=lambda job: job.arrives)
     waiting: list[tuple[float, int, list[int]]] = []
     running: list[float] = []
-    ends: dict[int, float] = {}
+    finish_times: dict[int, float] = {}
     now, position = 0.0, 0
     while position < len(arrivals) or waiting:
         while position < len(arrivals) and arrivals[position].arrives <= now:
@@ -28,19 +28,19 @@
         while running and running[0] <= now:
             heapq.heappop(running)
         while waiting and len(running) < slots:
-            left, number, tasks = heapq.heappop(waiting)
+            remaining_ms, number, tasks = heapq.heappop(waiting)
             run_ms = tasks.pop()
             end = now + run_ms / 1_000
             heapq.heappush(running, end)
-            ends[number] = max(ends.get(number, 0.0), end)
+            finish_times[number] = max(finish_times.get(number, 0.0), end)
             if tasks:
-                heapq.heappush(waiting, (left - run_ms, number, tasks))
-        coming = [arrivals[position].arrives] if position < len(arrivals) else []
+                heapq.heappush(waiting, (remaining_ms - run_ms, number, tasks))
+        next_events = [arrivals[position].arrives] if position < len(arrivals) else []
         if waiting and running:
-            coming.append(running[0])
-        if coming:
-            now = max(now, min(coming))
-    return {job.number: ends[job.number] - job.arrives for job in jobs}
+            next_events.append(running[0])
+        if next_events:
+            now = max(now, min(next_events))
+    return {job.number: finish_times[job.number] - job.arrives for job in jobs}
 
 
 __all__ = ["ideal_responses"]
--- a/measure/idle_cpu.py
+++ b/measure/idle_cpu.py
@@ -9,7 +9,7 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from measure.daemon_cpu import cpu_seconds, memory_mb, running, settings_of
+from measure.daemon_cpu import cpu_seconds, entry_settings, memory_mb, running
 
 HOST_COUNTS = (2, 4, 8, 16)
 MINIONS = 16
@@ -43,7 +43,7 @@
         for number in range(hosts):
             path = Path(folder, f"{number}.ini")
             callers, peers = CALLER_PORT + number, PEER_PORT + number
-            text = settings_of(number, callers, peers, PLATFORM_PORT)
+            text = entry_settings(number, callers, peers, PLATFORM_PORT)
             path.write_text(text)
             process = stack.enter_context(running(daemon, "--settings", str(path)))
             daemons.append(process)
@@ -53,11 +53,11 @@
         time.sleep(SECONDS)
         if any(process.poll() is not None for process in daemons):
             raise RuntimeError("a daemon has ended; are its ports taken?")
-        spent = [cpu_seconds(p) - b for p, b in zip(pids, before, strict=True)]
+        used = [cpu_seconds(p) - b for p, b in zip(pids, before, strict=True)]
         return IdleRow(
             hosts,
-            sum(spent) / hosts / SECONDS * 100,
-            max(spent) / SECONDS * 100,
+            sum(used) / hosts / SECONDS * 100,
+            max(used) / SECONDS * 100,
             max(memory_mb(pid) for pid in pids),
         )
 
--- a/measure/journal.py
+++ b/measure/journal.py
@@ -17,7 +17,7 @@
 
 RUN_MS = 100
 JOBS = 200
-FRESH_JOBS = 40
+JOBS_AFTER_TAKEOVER = 40
 
 
 @dataclass(frozen=True)
@@ -40,10 +40,10 @@
     async def submit(number: int) -> None:
         host = hosts[number % len(hosts)]
         key = host.jobs.mint().text() if minted else system.key(f"job-{number}")
-        begun = anyio.current_time()
+        started_at = anyio.current_time()
         answer = await system.submit(host, key, leave_job(1, RUN_MS), wait=10)
         if answer.outcome is Outcome.COMPLETE:
-            overheads.append((anyio.current_time() - begun) * 1_000 - RUN_MS)
+            overheads.append((anyio.current_time() - started_at) * 1_000 - RUN_MS)
 
     async with anyio.create_task_group() as group:
         for number in range(jobs):
@@ -54,11 +54,11 @@
 
 def _writes(system: MemorySystem) -> int:
     leader = system.leader()
-    leading = leader.journal_service.leader if leader else None
-    return leading.writer.writes if leading else 0
+    journal_leader = leader.journal_service.leader if leader else None
+    return journal_leader.writer.writes if journal_leader else 0
 
 
-async def _case(seed: int, name: str, rate: int, minted: bool, down: bool):
+async def _measure_case(seed: int, name: str, rate: int, minted: bool, down: bool):
     async with anyio.create_task_group() as group:
         system = MemorySystem(group, SystemSize(hosts_each=3, minions_each=16), seed)
         system.start_all()
@@ -79,7 +79,7 @@
     return row
 
 
-async def _after_a_death(seed: int, with_replicas: bool) -> JournalRow:
+async def _measure_leader_loss(seed: int, with_replicas: bool) -> JournalRow:
     async with anyio.create_task_group() as group:
         system = MemorySystem(group, SystemSize(hosts_each=5, minions_each=16), seed)
         system.start_all()
@@ -88,17 +88,19 @@
         await _submit_many(system, 10, minted=False, jobs=20)
         leader = system.leader()
         assert leader is not None
-        leading = leader.journal_service.leader
-        assert leading is not None
+        journal_leader = leader.journal_service.leader
+        assert journal_leader is not None
         lost: list[HostName] = [leader.config.host]
         if not with_replicas:
-            lost += [replica.split(".")[1] for replica in leading.writer.replicas]
+            lost += [
+                replica.split(".")[1] for replica in journal_leader.writer.replicas
+            ]
         for name in lost:
             system.kill(name)
         system.platform.switches.down = False
         await system.clock.sleep(timedelta(seconds=15))
         done = 0
-        for number in range(FRESH_JOBS):
+        for number in range(JOBS_AFTER_TAKEOVER):
             host = list(system.hosts.values())[number % len(system.hosts)]
             key = system.key(f"fresh-{number}")
             answer = await system.submit(host, key, leave_job(1, RUN_MS), wait=10)
@@ -106,7 +108,9 @@
         name = "leader lost in an outage, " + (
             "copies on replicas" if with_replicas else "no copy left"
         )
-        row = JournalRow(name, 0, done / FRESH_JOBS, float("nan"), float("nan"))
+        row = JournalRow(
+            name, 0, done / JOBS_AFTER_TAKEOVER, float("nan"), float("nan")
+        )
         group.cancel_scope.cancel()
     return row
 
@@ -120,10 +124,10 @@
             ("minted key", True, False),
             ("own key, platform down", False, True),
         ):
-            case = lambda: _case(seed, name, rate, minted, down)  # noqa: B023, E731
+            case = lambda: _measure_case(seed, name, rate, minted, down)  # noqa: B023, E731
             rows.append(run_virtual(seed, case))
     for with_replicas in (True, False):
-        case = lambda: _after_a_death(seed, with_replicas)  # noqa: B023, E731
+        case = lambda: _measure_leader_loss(seed, with_replicas)  # noqa: B023, E731
         rows.append(run_virtual(seed, case))
     return rows
 
--- a/measure/log_cost.py
+++ b/measure/log_cost.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class Cost:
+class CostRow:
     """Hold what one of something takes."""
 
     what: str
@@ -35,7 +35,7 @@
     bytes_each: float
 
 
-def run(seed: int) -> list[Cost]:
+def run(seed: int) -> list[CostRow]:
     """Return the costs; nothing is drawn, so `seed` changes nothing."""
     del seed
     return [_written_lines(), _dropped_lines(), _scrape()]
@@ -56,7 +56,7 @@
     )
 
 
-def _written_lines() -> Cost:
+def _written_lines() -> CostRow:
     readable, writable = os.pipe()
     os.set_blocking(readable, False)
     output = BoundedOutput(writable, LoopClock())
@@ -70,29 +70,31 @@
         written += len(os.read(readable, 1 << 20))
 
     count = MOST_LINES_A_SECOND // ROUNDS * ROUNDS
-    took = _with_output(output, lambda: [lines() for _ in range(ROUNDS)])
+    cpu_us = _cpu_us_with_output(output, lambda: [lines() for _ in range(ROUNDS)])
     os.close(readable)
     os.close(writable)
-    return Cost("log line, written", took / count, written / count)
+    return CostRow("log line, written", cpu_us / count, written / count)
 
 
-def _dropped_lines() -> Cost:
+def _dropped_lines() -> CostRow:
     output = BoundedOutput(os.open(os.devnull, os.O_WRONLY), LoopClock())
     for number in range(MOST_LINES):
         output({"number": number})
-    took = _with_output(output, lambda: [_log_answer(n) for n in range(MOST_LINES)])
-    return Cost("log line, dropped", took / MOST_LINES, 0.0)
+    cpu_us = _cpu_us_with_output(
+        output, lambda: [_log_answer(n) for n in range(MOST_LINES)]
+    )
+    return CostRow("log line, dropped", cpu_us / MOST_LINES, 0.0)
 
 
-def _with_output(output: BoundedOutput, work: Callable[[], object]) -> float:
+def _cpu_us_with_output(output: BoundedOutput, work: Callable[[], object]) -> float:
     add_destinations(output)
     try:
-        return _processor_us(work)
+        return _cpu_us(work)
     finally:
         remove_destination(output)
 
 
-def _scrape() -> Cost:
+def _scrape() -> CostRow:
     reader = InMemoryMetricReader()
     metrics = PoolMetrics(MeterProvider([reader]).get_meter("measure"))
     result = BatchResult(BatchOutcome.SUCCEEDED)
@@ -106,13 +108,13 @@
         for _ in range(SCRAPES):
             prometheus_text(reader.get_metrics_data())
 
-    return Cost("scrape of the metrics", _processor_us(scrapes) / SCRAPES, float(size))
+    return CostRow("scrape of the metrics", _cpu_us(scrapes) / SCRAPES, float(size))
 
 
-def _processor_us(work: Callable[[], object]) -> float:
-    began = time.process_time()
+def _cpu_us(work: Callable[[], object]) -> float:
+    started_at = time.process_time()
     work()
-    return (time.process_time() - began) * 1e6
+    return (time.process_time() - started_at) * 1e6
 
 
-__all__ = ["Cost", "run"]
+__all__ = ["CostRow", "run"]
--- a/measure/pages.py
+++ b/measure/pages.py
@@ -18,8 +18,8 @@
     """Return `page` with the table of each marked measurement made anew."""
 
     def replace(block: re.Match[str]) -> str:
-        made = table(block["name"], int(block["seed"]))
-        return f"{block[1]}\n{made}\n\n{block[4]}"
+        new_table = table(block["name"], int(block["seed"]))
+        return f"{block[1]}\n{new_table}\n\n{block[4]}"
 
     return _BLOCK.sub(replace, page)
 
--- a/measure/trial.py
+++ b/measure/trial.py
@@ -27,7 +27,7 @@
     from brasstray.job.answer import Answer
     from measure.workload import DrawnJob, Site
 
-ANSWER_PATIENCE_SECONDS = 60.0
+ANSWER_TIMEOUT_SECONDS = 60.0
 
 
 @dataclass(frozen=True)
@@ -53,39 +53,40 @@
     slots: SlotPolicy
     order: OrderPolicy
     seed: int
-    disturb: Callable[[MemorySystem], Awaitable[None]] | None = None
+    inject_fault: Callable[[MemorySystem], Awaitable[None]] | None = None
 
     def run(self) -> TrialResult:
         """Return what came of it."""
-        return run_virtual(self.seed, self._play)
+        return run_virtual(self.seed, self._run_jobs)
 
-    async def _play(self) -> TrialResult:
+    async def _run_jobs(self) -> TrialResult:
         responses: dict[int, float] = {}
         answers: dict[int, Answer] = {}
         async with anyio.create_task_group() as group:
-            system = self._world(group)
+            system = self._build_system(group)
             system.start_all()
             await system.settle()
             sent, calls = system.starts.sends, system.network.calls
             async with anyio.create_task_group() as callers:
-                if self.disturb is not None:
-                    callers.start_soon(self.disturb, system)
-                begun = anyio.current_time()
+                if self.inject_fault is not None:
+                    callers.start_soon(self.inject_fault, system)
+                started_at = anyio.current_time()
                 for job in self.jobs:
-                    await anyio.sleep_until(begun + job.arrives)
+                    await anyio.sleep_until(started_at + job.arrives)
                     callers.start_soon(self._call, system, job, responses, answers)
-            result = self._judge(
+            result = self._summarize(
                 system,
                 responses,
                 answers,
                 system.starts.sends - sent,
-                (system.network.calls - calls).total() - _beats(system, calls),
+                (system.network.calls - calls).total()
+                - _heartbeats_since(system, calls),
             )
             system.end()
             group.cancel_scope.cancel()
         return result
 
-    def _world(self, group) -> MemorySystem:
+    def _build_system(self, group) -> MemorySystem:
         size = SystemSize(1, self.site.hosts, self.site.minions, self.site.slots)
         return MemorySystem(group, size, self.seed, None, self.slots, self.order)
 
@@ -96,7 +97,7 @@
         responses: dict[int, float],
         answers: dict[int, Answer],
     ) -> None:
-        begun = anyio.current_time()
+        started_at = anyio.current_time()
         key = system.key(f"job-{job.number}")
         request = leave_job(len(job.run_ms), deadline_ms=60_000)
         tasks = [
@@ -105,7 +106,7 @@
         ]
         request = request.model_copy(update={"tasks": tasks})
         random = Random(job.number)
-        while anyio.current_time() - begun < ANSWER_PATIENCE_SECONDS:
+        while anyio.current_time() - started_at < ANSWER_TIMEOUT_SECONDS:
             host = random.choice(list(system.hosts.values()))
             try:
                 answer = await system.submit(host, key, request)
@@ -114,11 +115,11 @@
                 continue
             answers[job.number] = answer
             if answer.outcome is not Outcome.NOT_YET_KNOWN:
-                responses[job.number] = anyio.current_time() - begun
+                responses[job.number] = anyio.current_time() - started_at
                 return
             await system.clock.sleep(timedelta(seconds=1))
 
-    def _judge(
+    def _summarize(
         self,
         system: MemorySystem,
         responses: dict[int, float],
@@ -149,7 +150,7 @@
         )
 
 
-def _beats(system: MemorySystem, before: Counter[str]) -> int:
+def _heartbeats_since(system: MemorySystem, before: Counter[str]) -> int:
     return system.network.calls["heartbeat"] - before["heartbeat"]
 
 
--- a/measure/workload.py
+++ b/measure/workload.py
@@ -8,8 +8,8 @@
 if TYPE_CHECKING:
     from random import Random
 
-LEAST_RUN_MS = 50
-MOST_RUN_MS = 3_000
+MIN_RUN_MS = 50
+MAX_RUN_MS = 3_000
 JOB_SIZES = (1, 3, 10, 40, 150)
 JOB_WEIGHTS = (30, 30, 25, 12, 3)
 
@@ -48,7 +48,7 @@
 def draw_run_ms(site: Site, random: Random) -> int:
     """Return a task's run time."""
     drawn = random.lognormvariate(site.mean_log_ms, site.sigma)
-    return int(min(MOST_RUN_MS, max(LEAST_RUN_MS, drawn)))
+    return int(min(MAX_RUN_MS, max(MIN_RUN_MS, drawn)))
 
 
 def draw_jobs(
@@ -66,8 +66,8 @@
     mean_tasks = sum(
         size * weight for size, weight in zip(JOB_SIZES, JOB_WEIGHTS, strict=True)
     ) / sum(JOB_WEIGHTS)
-    work = mean_tasks * sum(sample) / len(sample) / 1_000
-    rate = load * site.total_slots / work
+    mean_job_seconds = mean_tasks * sum(sample) / len(sample) / 1_000
+    rate = load * site.total_slots / mean_job_seconds
     jobs: list[DrawnJob] = []
     now = 0.0
     while True:
--- a/src/brasstray_standins/__main__.py
+++ b/src/brasstray_standins/__main__.py
@@ -25,7 +25,7 @@
 async def _serve(platform_port: int, minions: int, entries: list[str]) -> None:
     clock = LoopClock()
     platform = MemoryPlatform(clock)
-    listed = [_entry(text, number) for number, text in enumerate(entries)]
+    listed = [_listed_entry_host(text, number) for number, text in enumerate(entries)]
     centres = sorted({host.data_centre for host in listed})
     started: list[StandInMinion] = []
     async with anyio.create_task_group() as group:
@@ -51,7 +51,7 @@
         typer.echo(f"platform at {ADDRESS}:{platform_port}, {len(started)} minions")
 
 
-def _entry(text: str, number: int) -> ListedHost:
+def _listed_entry_host(text: str, number: int) -> ListedHost:
     centre, _, port = text.rpartition(":")
     return ListedHost(
         name=f"entry-{number}",
--- a/src/brasstray_standins/balancer_app.py
+++ b/src/brasstray_standins/balancer_app.py
@@ -14,8 +14,8 @@
     from brasstray.http.exchange import Receive, Scope, Send
 
 MAX_BODY_BYTES = 64 * 1024 * 1024
-TRIES = 3
-_HOP_HEADERS = (b"connection", b"transfer-encoding", b"content-length")
+MAX_ATTEMPTS = 3
+_HOP_BY_HOP_HEADERS = (b"connection", b"transfer-encoding", b"content-length")
 
 
 class BalancerApp:
@@ -28,23 +28,23 @@
     def __init__(self, backends: list[tuple[str, int]], random: Random) -> None:
         self._backends = backends
         self._random = random
-        self._repeats = 0
+        self._retries = 0
 
     def add(self, backends: list[tuple[str, int]]) -> None:
         """Send requests to `backends` too."""
         self._backends.extend(backends)
 
     @property
-    def repeats(self) -> int:
+    def retries(self) -> int:
         """Return how many requests were sent again."""
-        return self._repeats
+        return self._retries
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
         body = await read_body(receive, MAX_BODY_BYTES) or b""
         response = json_response(502, {"detail": "no entry host was reached"})
-        for attempt in range(TRIES):
-            self._repeats += attempt > 0
+        for attempt in range(MAX_ATTEMPTS):
+            self._retries += attempt > 0
             address, port = self._random.choice(self._backends)
             try:
                 response = await _forward(scope, body, address, port)
@@ -59,7 +59,7 @@
     if scope["query_string"]:
         target += b"?" + scope["query_string"]
     url = httpcore.URL(scheme=b"http", host=address.encode(), port=port, target=target)
-    headers = [(k, v) for k, v in scope["headers"] if k not in _HOP_HEADERS]
+    headers = [(k, v) for k, v in scope["headers"] if k not in _HOP_BY_HOP_HEADERS]
     headers.append((b"content-length", str(len(body)).encode()))
     origin = httpcore.Origin(b"http", address.encode(), port)
     connection = httpcore.AsyncHTTPConnection(origin, retries=0)
--- a/src/brasstray_standins/call_chaos.py
+++ b/src/brasstray_standins/call_chaos.py
@@ -25,25 +25,25 @@
 
 @dataclass
 class CallChaos:
-    """Hold back a share of all calls for up to `longest`, and lose other responses."""
+    """Hold back a share of all calls up to `max_delay`, and lose other responses."""
 
     random: Random
-    late: float
-    unanswered: float
-    longest: timedelta = timedelta(seconds=6)
+    delayed_share: float
+    unanswered_share: float
+    max_delay: timedelta = timedelta(seconds=6)
 
     def draw(self) -> CallOutcome:
         """Return the fate of one call."""
-        drawn = self.random.random()
-        if drawn < self.late:
+        sample = self.random.random()
+        if sample < self.delayed_share:
             return CallOutcome.LATE
-        if drawn < self.late + self.unanswered:
+        if sample < self.delayed_share + self.unanswered_share:
             return CallOutcome.UNANSWERED
         return CallOutcome.ANSWERED
 
-    def draw_lateness(self) -> timedelta:
+    def draw_delay(self) -> timedelta:
         """Return how long a late call is held back."""
-        return self.random.random() * self.longest
+        return self.random.random() * self.max_delay
 
 
 __all__ = ["CallChaos", "CallOutcome"]
--- a/src/brasstray_standins/demo.py
+++ b/src/brasstray_standins/demo.py
@@ -35,7 +35,7 @@
     from brasstray.job.answer import Answer
 
 CALLER = CallerName("filiaal-07")
-PATIENCE = timedelta(seconds=18)
+ANSWER_TIMEOUT = timedelta(seconds=18)
 KEY_LIFETIME = timedelta(hours=1)
 _MILLISECOND = timedelta(milliseconds=1)
 
@@ -58,7 +58,7 @@
         return JobRequest.model_validate_json(self.body)
 
 
-def _demo_jobs(examples: Path) -> list[DemoJob]:
+def _load_jobs(examples: Path) -> list[DemoJob]:
     jobs = [
         DemoJob("leave settlement", "leave-settlement", "utrecht-b"),
         DemoJob("audit draw", "audit-draw", "utrecht-b"),
@@ -80,7 +80,7 @@
     Raise OSError if the job files are not in `examples`.
     """
     report = DemoReport()
-    jobs = _demo_jobs(examples)
+    jobs = _load_jobs(examples)
     async with anyio.create_task_group() as group:
         system = LoopbackSystem(group, seed)
         system.start()
@@ -90,23 +90,23 @@
         async with anyio.create_task_group() as callers:
             for job in jobs:
                 callers.start_soon(_call, client, job)
-            await _break_things(system, client, jobs, callers, report)
-        _judge(system, jobs, report)
+            await _inject_faults(system, client, jobs, callers, report)
+        _add_job_reports(system, jobs, report)
         report.counts = system.metrics.totals()
-        report.counts["balancer repeats"] = {"": system.balancer.repeats}
+        report.counts["balancer repeats"] = {"": system.balancer.retries}
         group.cancel_scope.cancel()
     return report
 
 
 async def _call(client: Client, job: DemoJob) -> None:
-    begun = anyio.current_time()
-    answer = await client.submit_until_final(job.body, job.key, PATIENCE)
+    started_at = anyio.current_time()
+    answer = await client.submit_until_final(job.body, job.key, ANSWER_TIMEOUT)
     if not job.answers:
-        job.response = timedelta(seconds=anyio.current_time() - begun)
+        job.response = timedelta(seconds=anyio.current_time() - started_at)
     job.answers.append(answer)
 
 
-async def _break_things(
+async def _inject_faults(
     system: LoopbackSystem,
     client: Client,
     jobs: list[DemoJob],
@@ -117,7 +117,7 @@
     minion = DATA_CENTRES.index("amersfoort")
     system.kill_minion(minion)
     report.events.append(f"killed {system.minions[minion].name} in amersfoort")
-    executor = _executor_of(system, jobs[-1].key)
+    executor = _find_executor(system, jobs[-1].key)
     if executor is not None:
         system.kill_daemon(executor)
         report.events.append(f"killed {executor}, which ran: {jobs[-1].name}")
@@ -129,7 +129,7 @@
     report.events.append("resubmitted an answered job with the same key")
 
 
-def _executor_of(system: LoopbackSystem, key: KeyText) -> str | None:
+def _find_executor(system: LoopbackSystem, key: KeyText) -> str | None:
     job = JobId(caller=CALLER, key=key)
     for name, running in system.daemons.items():
         host = running.daemon.host
@@ -138,7 +138,9 @@
     return None
 
 
-def _judge(system: LoopbackSystem, jobs: list[DemoJob], report: DemoReport) -> None:
+def _add_job_reports(
+    system: LoopbackSystem, jobs: list[DemoJob], report: DemoReport
+) -> None:
     for job in jobs:
         starts = system.starts(job.key)
         answer = job.answers[0]
--- a/src/brasstray_standins/gate.py
+++ b/src/brasstray_standins/gate.py
@@ -21,23 +21,23 @@
     def __init__(self) -> None:
         self._open = anyio.Event()
         self._open.set()
-        self._closings = 0
+        self._close_count = 0
 
     def close(self) -> None:
         """Hold back what comes."""
-        if not self._closings:
+        if not self._close_count:
             self._open = anyio.Event()
-        self._closings += 1
+        self._close_count += 1
 
     def open(self) -> None:
         """Let everything pass, unless it was closed once more."""
-        self._closings = max(0, self._closings - 1)
-        if not self._closings:
+        self._close_count = max(0, self._close_count - 1)
+        if not self._close_count:
             self._open.set()
 
-    def remove(self) -> None:
+    def release(self) -> None:
         """Let everything pass for good, as the process has ended."""
-        self._closings = 0
+        self._close_count = 0
         self._open.set()
 
     async def wait(self) -> None:
--- a/src/brasstray_standins/kv_app.py
+++ b/src/brasstray_standins/kv_app.py
@@ -32,8 +32,8 @@
         await response.send(send)
 
     async def _respond(self, scope: Scope, receive: Receive) -> HttpResponse:
-        found = parse_qs(scope["query_string"].decode())
-        query = {name: values[0] for name, values in found.items()}
+        parameters = parse_qs(scope["query_string"].decode())
+        query = {name: values[0] for name, values in parameters.items()}
         body = await read_body(receive, MAX_BODY_BYTES) or b""
         match scope["method"], scope["path"]:
             case "GET", "/-/kv-key":
--- a/src/brasstray_standins/leased_minion.py
+++ b/src/brasstray_standins/leased_minion.py
@@ -26,20 +26,20 @@
     from brasstray.pool.minion_entry import MinionEntry
 
 _MILLISECOND = timedelta(milliseconds=1)
-LONGEST_LEASE = timedelta(seconds=1)
-STOP_TIME = timedelta(milliseconds=50)
+MAX_LEASE = timedelta(seconds=1)
+STOP_DURATION = timedelta(milliseconds=50)
 
 
 @dataclass
 class SimulatedRun:
-    """Hold a run, the work it has left at `checked`, and how it will end."""
+    """Hold a run, the work it has left at `updated_at`, and how it will end."""
 
     task: TaskName
     run: RunNumber
     needs: Resources
     work: timedelta
     left: timedelta
-    checked: timedelta
+    updated_at: timedelta
     fails: bool
     stopped_at: timedelta | None = None
 
@@ -97,7 +97,7 @@
         entry: MinionEntry,
         clock: Clock,
         book: RunBook,
-        lag_ms: int = 1_000,
+        clock_offset_ms: int = 1_000,
         clock_rate: float = 1.0,
     ) -> None:
         self.entry = entry
@@ -106,21 +106,24 @@
         self.failing = False
         self.alive = True
         self._clock = clock
-        self._book = book
-        self._lag_ms = lag_ms
+        self._run_book = book
+        self._clock_offset_ms = clock_offset_ms
         self._clock_rate = clock_rate
         self._token = FencingToken(0)
-        self._until_ms = 0
+        self._lease_until_ms = 0
         self._runs: dict[TaskName, SimulatedRun] = {}
-        self._highest: dict[TaskName, RunNumber] = {}
+        self._highest_run: dict[TaskName, RunNumber] = {}
         self._ends: list[EndedRun] = []
-        self._numbers = 0
-        self._ended = anyio.Event()
+        self._end_count = 0
+        self._run_ended = anyio.Event()
 
     @property
     def clock_ms(self) -> int:
         """Return this minion's own clock."""
-        return self._lag_ms + self._clock.monotonic() * self._clock_rate // _MILLISECOND
+        return (
+            self._clock_offset_ms
+            + self._clock.monotonic() * self._clock_rate // _MILLISECOND
+        )
 
     @property
     def running(self) -> set[TaskName]:
@@ -136,45 +139,45 @@
         """End all runs; nothing responds here any more."""
         self.alive = False
         for run in list(self._runs.values()):
-            self._leave(run)
+            self._remove_run(run)
 
     def tick(self) -> None:
         """Let work go on, and end what is done or whose lease has passed."""
         now = self._clock.monotonic()
-        expired = self.clock_ms >= self._until_ms
+        expired = self.clock_ms >= self._lease_until_ms
         for run in list(self._runs.values()):
             if run.stopped_at is not None:
-                if now - run.stopped_at >= STOP_TIME:
+                if now - run.stopped_at >= STOP_DURATION:
                     self._end(run, RunEnd.STOPPED)
                 continue
             if not self.stuck:
-                run.left -= (now - run.checked) / self.slowness
-            run.checked = now
+                run.left -= (now - run.updated_at) / self.slowness
+            run.updated_at = now
             if run.left <= timedelta(0):
                 self._end(run, RunEnd.FAILED if run.fails else RunEnd.DONE)
             elif expired:
                 self._end(run, RunEnd.EXPIRED)
 
     def _end(self, run: SimulatedRun, end: RunEnd) -> None:
-        self._leave(run)
-        self._numbers += 1
-        self._ends.append(EndedRun(self._numbers, run.task, run.run, end))
-        self._ended.set()
+        self._remove_run(run)
+        self._end_count += 1
+        self._ends.append(EndedRun(self._end_count, run.task, run.run, end))
+        self._run_ended.set()
 
-    def _leave(self, run: SimulatedRun) -> None:
+    def _remove_run(self, run: SimulatedRun) -> None:
         del self._runs[run.task]
-        self._book.active[run.task].remove(str(self.entry.id))
+        self._run_book.active[run.task].remove(str(self.entry.id))
 
-    def _check(self, entry: MinionEntry, token: FencingToken) -> None:
+    def _check_caller(self, entry: MinionEntry, token: FencingToken) -> None:
         if entry.id != self.entry.id:
             raise MinionGoneError(str(entry.id))
         if token < self._token:
             raise FencedError(str(token))
         self._token = token
 
-    def _extend(self, until_ms: int) -> None:
-        longest = self.clock_ms + LONGEST_LEASE // _MILLISECOND
-        self._until_ms = max(self._until_ms, min(until_ms, longest))
+    def _extend_lease(self, until_ms: int) -> None:
+        latest_ms = self.clock_ms + MAX_LEASE // _MILLISECOND
+        self._lease_until_ms = max(self._lease_until_ms, min(until_ms, latest_ms))
 
     async def hold(
         self,
@@ -185,14 +188,14 @@
         wait: timedelta,
     ) -> ProbeReply:
         """Extend the lease and tell what runs, once a run ends or `wait` is over."""
-        self._check(entry, token)
+        self._check_caller(entry, token)
         if until_ms is not None:
-            self._extend(until_ms)
+            self._extend_lease(until_ms)
         self._ends = [end for end in self._ends if end.number > acknowledged]
         if not self._ends and wait:
-            self._ended = anyio.Event()
+            self._run_ended = anyio.Event()
             with anyio.move_on_after(wait.total_seconds()):
-                await self._ended.wait()
+                await self._run_ended.wait()
         active = tuple(
             ActiveRun(run.task, run.run, round(100 * (1 - run.left / run.work)))
             for run in self._runs.values()
@@ -209,22 +212,22 @@
         until_ms: int,
     ) -> int:
         """Start a run, and note it if another run of the task is at work."""
-        self._check(entry, token)
+        self._check_caller(entry, token)
         if self._runs.get(task) and self._runs[task].run == run:
             return self.clock_ms
-        if run <= self._highest.get(task, 0):
+        if run <= self._highest_run.get(task, 0):
             raise StartRefusedError(StartRefusal.STALE_RUN)
-        self._extend(until_ms)
-        if self.clock_ms >= self._until_ms:
+        self._extend_lease(until_ms)
+        if self.clock_ms >= self._lease_until_ms:
             raise StartRefusedError(StartRefusal.LEASE_PASSED)
-        self._highest[task] = run
-        work = self._book.work(task)
-        others = self._book.active.setdefault(task, [])
+        self._highest_run[task] = run
+        work = self._run_book.work(task)
+        others = self._run_book.active.setdefault(task, [])
         if others:
-            self._book.broken.append(f"{task} on {self.entry.id} and {others}")
+            self._run_book.broken.append(f"{task} on {self.entry.id} and {others}")
         others.append(str(self.entry.id))
         now = self._clock.monotonic()
-        self._book.noted.append(RecordedStart(task, self.entry, now))
+        self._run_book.noted.append(RecordedStart(task, self.entry, now))
         self._runs[task] = SimulatedRun(
             task,
             run,
@@ -234,15 +237,15 @@
             now,
             work.fails or self.failing,
         )
-        self._check_room()
+        self._check_capacity()
         return self.clock_ms
 
-    def _check_room(self) -> None:
+    def _check_capacity(self) -> None:
         used = Resources()
         for run in self._runs.values():
             used = used + run.needs
         if not used.fits(self.entry.capacity):
-            self._book.broken.append(f"{self.entry.id} is over its capacity")
+            self._run_book.broken.append(f"{self.entry.id} is over its capacity")
 
     def stop(
         self,
@@ -255,11 +258,11 @@
 
         What is being stopped is not told as active any more, but uses its room still.
         """
-        self._check(entry, token)
-        self._highest[task] = max(run, self._highest.get(task, RunNumber(0)))
-        at_work = self._runs.get(task)
-        if at_work is not None and at_work.run <= run:
-            at_work.stopped_at = at_work.stopped_at or self._clock.monotonic()
+        self._check_caller(entry, token)
+        self._highest_run[task] = max(run, self._highest_run.get(task, RunNumber(0)))
+        active_run = self._runs.get(task)
+        if active_run is not None and active_run.run <= run:
+            active_run.stopped_at = active_run.stopped_at or self._clock.monotonic()
 
 
 async def tick_all(
--- a/src/brasstray_standins/leased_minion_app.py
+++ b/src/brasstray_standins/leased_minion_app.py
@@ -66,18 +66,19 @@
                 timedelta(milliseconds=body.get("WaitMs", 0)),
             )
             running = [
-                [_text(r.task), r.run, "", r.percent, 6_800] for r in reply.active
+                [_format_task(r.task), r.run, "", r.percent, 6_800]
+                for r in reply.active
             ]
             finished = [
-                [e.number, _text(e.task), e.run, _end_text(e.end), ""]
+                [e.number, _format_task(e.task), e.run, _format_end(e.end), ""]
                 for e in reply.ended
             ]
-            told = {
+            content = {
                 "ClockMs": reply.clock_ms,
                 "Running": running,
                 "Finished": finished,
             }
-            return json_response(200, told)
+            return json_response(200, content)
         batch, _, step, index = body["Task"].split(".")
         task = TaskName(BatchId(batch), int(step), int(index))
         run = RunNumber(body["Run"])
@@ -88,11 +89,11 @@
         return json_response(200, {"ClockMs": minion.clock_ms})
 
 
-def _end_text(end: RunEnd) -> str:
+def _format_end(end: RunEnd) -> str:
     return "lapsed" if end is RunEnd.EXPIRED else end.value
 
 
-def _text(task: TaskName) -> str:
+def _format_task(task: TaskName) -> str:
     return f"{task.batch}.0.{task.step}.{task.index}"
 
 
--- a/src/brasstray_standins/leased_minions.py
+++ b/src/brasstray_standins/leased_minions.py
@@ -28,7 +28,7 @@
 
     _T = TypeVar("_T")
 
-ONE_WAY = timedelta(milliseconds=1)
+ONE_WAY_DELAY = timedelta(milliseconds=1)
 
 
 class LeasedMinions:
@@ -58,7 +58,7 @@
         self.ignored_stops = 0
         self.lateness = timedelta(seconds=3)
         self.effort = timedelta(0)
-        self.chaos = CallChaos(Random(0), late=0.0, unanswered=0.0)
+        self.chaos = CallChaos(Random(0), delayed_share=0.0, unanswered_share=0.0)
         self._processor = anyio.Lock()
         self._places = places
         self._clock = clock
@@ -76,19 +76,19 @@
     ) -> ProbeReply:
         """Extend the lease of all runs, and wait up to `wait` for one to end."""
 
-        async def act(place: LeasedMinion) -> ProbeReply:
+        async def operation(place: LeasedMinion) -> ProbeReply:
             return await place.hold(minion, token, acknowledged, until_ms, wait)
 
         if until_ms is not None and self.late_holds > 0:
             self.late_holds -= 1
-            ahead = until_ms - self._places[minion.id].clock_ms
+            lease_ms = until_ms - self._places[minion.id].clock_ms
 
             async def extend(place: LeasedMinion) -> ProbeReply:
-                until = place.clock_ms + ahead
+                until = place.clock_ms + lease_ms
                 return await place.hold(minion, token, 0, until, timedelta(0))
 
-            await self._hold_back(minion, extend, timeout, self.lateness)
-        return await self._call(minion, act, timeout)
+            await self._delay_call(minion, extend, timeout, self.lateness)
+        return await self._call(minion, operation, timeout)
 
     async def start(
         self,
@@ -103,37 +103,37 @@
         """Start a run and return the minion's clock."""
         del spec
 
-        async def act(place: LeasedMinion) -> int:
+        async def operation(place: LeasedMinion) -> int:
             return place.start(minion, token, task, run, until_ms)
 
         if self.late > 0:
             self.late -= 1
-            await self._hold_back(minion, act, timeout, self.lateness)
-        return await self._call(minion, act, timeout)
+            await self._delay_call(minion, operation, timeout, self.lateness)
+        return await self._call(minion, operation, timeout)
 
-    async def _hold_back(
+    async def _delay_call(
         self,
         minion: MinionEntry,
-        act: Callable[[LeasedMinion], Awaitable[object]],
+        operation: Callable[[LeasedMinion], Awaitable[object]],
         timeout: timedelta,
-        lateness: timedelta,
+        delay: timedelta,
     ) -> NoReturn:
-        """Leave a call unanswered, and have it carried out after `lateness`."""
-        self._group.start_soon(self._act_late, minion, act, lateness)
+        """Leave a call unanswered, and have it carried out after `delay`."""
+        self._group.start_soon(self._run_delayed, minion, operation, delay)
         await self._clock.sleep(timeout)
         raise MinionSilentError("held back")
 
-    async def _act_late(
+    async def _run_delayed(
         self,
         minion: MinionEntry,
-        act: Callable[[LeasedMinion], Awaitable[object]],
-        lateness: timedelta,
+        operation: Callable[[LeasedMinion], Awaitable[object]],
+        delay: timedelta,
     ) -> None:
-        await self._clock.sleep(lateness)
+        await self._clock.sleep(delay)
         place = self._places[minion.id]
         if place.alive:
             try:
-                await act(place)
+                await operation(place)
             except Exception:  # noqa: BLE001, S110 - nobody waits for this answer
                 return
 
@@ -147,13 +147,13 @@
     ) -> None:
         """Stop a run, or have it refused if it comes later."""
 
-        async def act(place: LeasedMinion) -> None:
+        async def operation(place: LeasedMinion) -> None:
             if self.ignored_stops > 0:
                 self.ignored_stops -= 1
                 return
             place.stop(minion, token, task, run)
 
-        await self._call(minion, act, timeout)
+        await self._call(minion, operation, timeout)
 
     async def forget(self, minion: MinionEntry) -> None:
         """Close nothing."""
@@ -161,30 +161,30 @@
     async def _call(
         self,
         minion: MinionEntry,
-        act: Callable[[LeasedMinion], Awaitable[_T]],
+        operation: Callable[[LeasedMinion], Awaitable[_T]],
         timeout: timedelta,
     ) -> _T:
         await self._gate.wait()
         self.calls[minion.id] += 1
-        fate = self.chaos.draw()
-        if fate is CallOutcome.LATE:
-            lateness = self.chaos.draw_lateness()
-            await self._hold_back(minion, act, timeout, lateness)
+        outcome = self.chaos.draw()
+        if outcome is CallOutcome.LATE:
+            delay = self.chaos.draw_delay()
+            await self._delay_call(minion, operation, timeout, delay)
         with anyio.move_on_after(timeout.total_seconds()):
             if self.effort:
                 async with self._processor:
                     await self._clock.sleep(self.effort)
-            await self._clock.sleep(ONE_WAY)
+            await self._clock.sleep(ONE_WAY_DELAY)
             place = self._places[minion.id]
             if minion.id in self.cut or not place.alive:
                 await anyio.sleep_forever()
-            answer = await act(place)
+            answer = await operation(place)
             if self.swallowed > 0:
                 self.swallowed -= 1
                 await anyio.sleep_forever()
-            if fate is CallOutcome.UNANSWERED:
+            if outcome is CallOutcome.UNANSWERED:
                 await anyio.sleep_forever()
-            await self._clock.sleep(ONE_WAY)
+            await self._clock.sleep(ONE_WAY_DELAY)
             if minion.id not in self.cut:
                 await self._gate.wait()
                 return answer
--- a/src/brasstray_standins/loopback_system.py
+++ b/src/brasstray_standins/loopback_system.py
@@ -38,7 +38,7 @@
 MINION_COUNT = 25
 SLOTS = 8
 SERVICES = {"verlofdienst": False, "echantillon": False, "herrekening": True}
-PLATFORM_PATIENCE = timedelta(seconds=1)
+PLATFORM_TIMEOUT = timedelta(seconds=1)
 
 
 @dataclass
@@ -136,7 +136,7 @@
             config,
             callers,
             peers,
-            HttpPlatform(LOOPBACK, self._platform_port, PLATFORM_PATIENCE),
+            HttpPlatform(LOOPBACK, self._platform_port, PLATFORM_TIMEOUT),
             self.metrics.metrics(host.name),
             random,
         )
--- a/src/brasstray_standins/memory_minions.py
+++ b/src/brasstray_standins/memory_minions.py
@@ -61,13 +61,13 @@
         await self._clock.sleep(self._delay)
         with anyio.move_on_after(patience.total_seconds()):
             target = self._minions[minion.name]
-            ended = await target.run(task_id.text(), task.payload)
+            outcome = await target.run(task_id.text(), task.payload)
             await self._clock.sleep(self._delay)
-            if ended.reply in _NOT_RUN:
-                raise TaskNotRunError(_NOT_RUN[ended.reply])
-            if ended.reply in _MAY_HAVE_RUN:
-                raise TaskMayHaveRunError(_MAY_HAVE_RUN[ended.reply])
-            return ended.result
+            if outcome.reply in _NOT_RUN:
+                raise TaskNotRunError(_NOT_RUN[outcome.reply])
+            if outcome.reply in _MAY_HAVE_RUN:
+                raise TaskMayHaveRunError(_MAY_HAVE_RUN[outcome.reply])
+            return outcome.result
         raise TaskMayHaveRunError(RetryReason.SILENT)
 
 
--- a/src/brasstray_standins/memory_network.py
+++ b/src/brasstray_standins/memory_network.py
@@ -51,9 +51,9 @@
         """Let `host` be called no more."""
         self._hosts.pop(host, None)
 
-    def cut(self, one: HostName, other: HostName) -> None:
+    def cut(self, first: HostName, second: HostName) -> None:
         """Let two hosts not hear each other."""
-        self._cut.add(frozenset((one, other)))
+        self._cut.add(frozenset((first, second)))
 
     def heal(self) -> None:
         """Let all hosts hear each other."""
@@ -63,7 +63,7 @@
         """Return the peers that `host` can call."""
         return MemoryPeers(self, sender, host)
 
-    async def carry(
+    async def deliver(
         self, source: HostName, target: HostName, call: Envelope, patience: timedelta
     ) -> Envelope:
         """Return the reply to `call`, encoded and decoded as on a wire."""
@@ -79,29 +79,29 @@
         arrived = Envelope.decode(data)
         if arrived.receiver not in (None, host.config.incarnation):
             raise PeerNotReachedError(f"{arrived.receiver} does not run")
-        exchange = _PendingCall(arrived)
-        group.start_soon(exchange.run, host, gate)
+        pending_call = _PendingCall(arrived)
+        group.start_soon(pending_call.run, host, gate)
         with anyio.move_on_after(patience.total_seconds()):
-            await exchange.ended.wait()
+            await pending_call.finished.wait()
             await self._clock.sleep(self._delay)
-        if exchange.reply is None or self._is_cut(source, target):
+        if pending_call.reply is None or self._is_cut(source, target):
             raise PeerReplyLostError(f"{target} gave no reply")
         if self.lose_replies > 0:
             self.lose_replies -= 1
             raise PeerReplyLostError("the reply was lost")
-        data = exchange.reply.encode()
+        data = pending_call.reply.encode()
         self._bytes[kind] += len(data)
         return Envelope.decode(data)
 
-    def _is_cut(self, one: HostName, other: HostName) -> bool:
-        return frozenset((one, other)) in self._cut
+    def _is_cut(self, first: HostName, second: HostName) -> bool:
+        return frozenset((first, second)) in self._cut
 
 
 class _PendingCall:
     def __init__(self, call: Envelope) -> None:
         self._call = call
         self.reply: Envelope | None = None
-        self.ended = anyio.Event()
+        self.finished = anyio.Event()
 
     async def run(self, host: EntryHost, gate: Gate) -> None:
         assert self._call.message is not None
@@ -116,7 +116,7 @@
             )
             await gate.wait()
         finally:
-            self.ended.set()
+            self.finished.set()
 
 
 class MemoryPeers:
@@ -144,7 +144,7 @@
             receiver=receiver,
             message=message,
         )
-        reply = await self._network.carry(self._host, host, call, patience)
+        reply = await self._network.deliver(self._host, host, call, patience)
         assert reply.message is not None
         return reply.message
 
--- a/src/brasstray_standins/memory_platform.py
+++ b/src/brasstray_standins/memory_platform.py
@@ -30,12 +30,12 @@
         self._switches = PlatformFaults()
         self._entries: dict[str, StoreEntry] = {}
         self._lease_of: dict[str, int] = {}
-        self._lease_ends: dict[int, timedelta] = {}
+        self._lease_expiry: dict[int, timedelta] = {}
         self._versions = count(1)
         self._leases = count(1)
         self._hosts: list[ListedHost] = []
-        self._old_hosts: list[ListedHost] = []
-        self._changed = anyio.Event()
+        self._visible_hosts: list[ListedHost] = []
+        self._change_event = anyio.Event()
         self._calls = 0
 
     @property
@@ -52,23 +52,23 @@
         """Replace the list; readers see it once the list is not frozen."""
         self._hosts = list(hosts)
 
-    async def _enter(self) -> None:
+    async def _begin_call(self) -> None:
         self._calls += 1
         await self._clock.sleep(self._switches.delay)
         if self._switches.down:
             raise StoreUnavailableError("the platform is down")
         self._expire()
 
-    def _leave(self) -> None:
+    def _maybe_lose_reply(self) -> None:
         if self._switches.lose_replies > 0:
             self._switches.lose_replies -= 1
             raise StoreUnavailableError("the reply was lost")
 
     def _expire(self) -> None:
         now = self._clock.monotonic()
-        ended = {lease for lease, end in self._lease_ends.items() if end <= now}
+        ended = {lease for lease, end in self._lease_expiry.items() if end <= now}
         for lease in ended:
-            del self._lease_ends[lease]
+            del self._lease_expiry[lease]
         for name in [n for n, lease in self._lease_of.items() if lease in ended]:
             self._remove(name)
 
@@ -78,19 +78,19 @@
         self._notify()
 
     def _notify(self) -> None:
-        self._changed.set()
-        self._changed = anyio.Event()
+        self._change_event.set()
+        self._change_event = anyio.Event()
 
     async def get(self, name: str) -> StoreEntry | None:
         """Return the entry called `name`, if there is one."""
-        await self._enter()
+        await self._begin_call()
         return self._entries.get(name)
 
     async def swap(
         self, name: str, value: bytes, expected: int, lease: int | None = None
     ) -> int:
         """Write `value` if the version is `expected`; return the new version."""
-        await self._enter()
+        await self._begin_call()
         if len(value) > MAX_VALUE_BYTES:
             raise StoreConflictError(f"{name}: the value is over {MAX_VALUE_BYTES}")
         current = self._entries.get(name)
@@ -101,57 +101,57 @@
         if lease is not None:
             self._lease_of[name] = lease
         self._notify()
-        self._leave()
+        self._maybe_lose_reply()
         return version
 
     async def scan(self, prefix: str, after: str = "") -> list[StoreEntry]:
         """Return a page of entries under `prefix` named beyond `after`, in order."""
-        await self._enter()
+        await self._begin_call()
         names = sorted(n for n in self._entries if n.startswith(prefix) and n > after)
         return [self._entries[name] for name in names[:PAGE_ENTRIES]]
 
     async def delete(self, name: str) -> None:
         """Remove the entry called `name`, if there is one."""
-        await self._enter()
+        await self._begin_call()
         self._remove(name)
-        self._leave()
+        self._maybe_lose_reply()
 
     async def grant(self, duration: timedelta) -> int:
         """Return a new lease that ends after `duration` unless kept alive."""
-        await self._enter()
+        await self._begin_call()
         lease = next(self._leases)
-        self._lease_ends[lease] = self._clock.monotonic() + duration
+        self._lease_expiry[lease] = self._clock.monotonic() + duration
         return lease
 
     async def keep_alive(self, lease: int, duration: timedelta) -> bool:
         """Prolong `lease`; return False if it has ended."""
-        await self._enter()
-        if lease not in self._lease_ends:
+        await self._begin_call()
+        if lease not in self._lease_expiry:
             return False
-        self._lease_ends[lease] = self._clock.monotonic() + duration
+        self._lease_expiry[lease] = self._clock.monotonic() + duration
         return True
 
     async def watch(
-        self, prefix: str, since: int, patience: timedelta
+        self, prefix: str, since: int, timeout: timedelta
     ) -> list[StoreEntry]:
         """Return entries under `prefix` newer than `since`, waiting for the first."""
-        await self._enter()
-        with anyio.move_on_after(patience.total_seconds()):
-            while not (found := self._newer(prefix, since)):
-                await self._changed.wait()
+        await self._begin_call()
+        with anyio.move_on_after(timeout.total_seconds()):
+            while not (found := self._entries_since(prefix, since)):
+                await self._change_event.wait()
             return found
         return []
 
-    def _newer(self, prefix: str, since: int) -> list[StoreEntry]:
+    def _entries_since(self, prefix: str, since: int) -> list[StoreEntry]:
         entries = self._entries.values()
         return [e for e in entries if e.name.startswith(prefix) and e.version > since]
 
     async def hosts(self) -> list[ListedHost]:
         """Return the list of hosts, an old one while it is frozen."""
-        await self._enter()
+        await self._begin_call()
         if not self._switches.freeze_list:
-            self._old_hosts = list(self._hosts)
-        return list(self._old_hosts)
+            self._visible_hosts = list(self._hosts)
+        return list(self._visible_hosts)
 
 
 __all__ = ["MemoryPlatform"]
--- a/src/brasstray_standins/memory_store.py
+++ b/src/brasstray_standins/memory_store.py
@@ -21,9 +21,9 @@
     from brasstray.clock.clock import Clock
     from brasstray_standins.rate_limited_link import RateLimitedLink
 
-DELAY = timedelta(milliseconds=4)
+CALL_DELAY = timedelta(milliseconds=4)
 # Values come as base64 text.
-TEXT_FACTOR = 4 / 3
+BASE64_FACTOR = 4 / 3
 
 
 class MemoryStore:
@@ -36,9 +36,9 @@
         self._clock = clock
         self._entries: dict[str, StoreEntry] = {}
         self._history: list[StoreEntry] = []
-        self._oldest = 0
+        self._compacted_version = 0
         self._version = 0
-        self._changed = anyio.Event()
+        self._change_event = anyio.Event()
         self.down = False
         self.cut: set[str] = set()
         self.silent_watches: set[str] = set()
@@ -48,7 +48,7 @@
         self._version += 1
         entry = self._entries[name] = StoreEntry(name, value, self._version)
         self._history.append(entry)
-        self._wake()
+        self._notify()
         return self._version
 
     def remove(self, name: str) -> None:
@@ -56,17 +56,17 @@
         self._version += 1
         self._entries.pop(name, None)
         self._history.append(StoreEntry(name, b"", self._version))
-        self._wake()
+        self._notify()
 
     def compact(self) -> None:
         """Drop the history and cut the watches."""
         self._history.clear()
-        self._oldest = self._version
-        self._wake()
+        self._compacted_version = self._version
+        self._notify()
 
-    def _wake(self) -> None:
-        self._changed.set()
-        self._changed = anyio.Event()
+    def _notify(self) -> None:
+        self._change_event.set()
+        self._change_event = anyio.Event()
 
     def entries(self, prefix: str) -> tuple[StoreEntry, ...]:
         """Return the entries under `prefix`, in order."""
@@ -83,16 +83,16 @@
     async def watch(self, prefix: str, after: int, wait: timedelta) -> Changes:
         """Return the changes after a version, or none after `wait`."""
         with anyio.move_on_after(wait.total_seconds()):
-            while not self._since(prefix, after):
-                await self._changed.wait()
-                if self._oldest > after:
+            while not self._changes_since(prefix, after):
+                await self._change_event.wait()
+                if self._compacted_version > after:
                     raise HistoryLostError(prefix)
-        latest = {entry.name: entry for entry in self._since(prefix, after)}
+        latest = {entry.name: entry for entry in self._changes_since(prefix, after)}
         written = tuple(e for e in latest.values() if e.value)
         removed = tuple(e.name for e in latest.values() if not e.value)
         return Changes(written, removed, self._version)
 
-    def _since(self, prefix: str, after: int) -> list[StoreEntry]:
+    def _changes_since(self, prefix: str, after: int) -> list[StoreEntry]:
         return [
             e for e in self._history if e.version > after and e.name.startswith(prefix)
         ]
@@ -113,51 +113,51 @@
         self._clock = clock
         self._link = link
 
-    async def _enter(self) -> None:
-        await self._clock.sleep(DELAY)
+    async def _begin_call(self) -> None:
+        await self._clock.sleep(CALL_DELAY)
         if self._store.down or self._host in self._store.cut:
             raise StoreUnavailableError("the store is out of reach")
 
     async def get(self, name: str) -> StoreEntry | None:
         """Return the entry called `name`."""
-        await self._enter()
+        await self._begin_call()
         return next((e for e in self._store.entries(name) if e.name == name), None)
 
     async def swap(self, name: str, value: bytes, expected: int) -> int:
         """Write if the version is `expected`."""
-        await self._enter()
+        await self._begin_call()
         return await self._store.swap(name, value, expected)
 
     async def scan(self, prefix: str, after: str = "") -> list[StoreEntry]:
         """Return the entries under `prefix` beyond `after`."""
-        await self._enter()
+        await self._begin_call()
         return [e for e in self._store.entries(prefix) if e.name > after]
 
     async def delete(self, name: str) -> None:
         """Remove an entry."""
-        await self._enter()
+        await self._begin_call()
         self._store.remove(name)
 
     async def snapshot(self, prefix: str) -> Snapshot:
         """Return all entries under `prefix`."""
-        await self._enter()
+        await self._begin_call()
         found = self._store.snapshot(prefix)
         await self._receive(found.entries)
         return found
 
     async def watch(self, prefix: str, after: int, wait: timedelta) -> Changes:
         """Return the changes after a version, or none after `wait`."""
-        await self._enter()
+        await self._begin_call()
         changes = await self._store.watch(prefix, after, wait)
         while self._host in self._store.silent_watches:
             await self._clock.sleep(wait)
-        await self._enter()
+        await self._begin_call()
         await self._receive(changes.written)
         return changes
 
     async def _receive(self, entries: Iterable[StoreEntry]) -> None:
         size = sum(len(entry.value) for entry in entries)
-        await self._link.carry(int(size * TEXT_FACTOR))
+        await self._link.transmit(int(size * BASE64_FACTOR))
 
 
 __all__ = ["MemoryStore", "StoreView"]
--- a/src/brasstray_standins/memory_streams.py
+++ b/src/brasstray_standins/memory_streams.py
@@ -22,7 +22,7 @@
     from brasstray.peer.pool_messages import PoolMessage
     from brasstray_standins.gate import Gate
 
-ONE_WAY = timedelta(milliseconds=1.5)
+ONE_WAY_DELAY = timedelta(milliseconds=1.5)
 OPEN_TIMEOUT = timedelta(milliseconds=400)
 
 
@@ -43,7 +43,7 @@
         self.listening: dict[str, PoolHost] = {}
         self.groups: dict[str, int] = {}
         self.streams: list[MemoryStream] = []
-        self.opening = ONE_WAY
+        self.opening = ONE_WAY_DELAY
         self.sent = 0
 
     def cut(self, groups: dict[str, int]) -> None:
@@ -53,23 +53,23 @@
             if not self.connected(stream.here, stream.there):
                 stream.silent = True
 
-    def link_from(self, machine: str) -> RateLimitedLink:
-        """Return what carries the bytes that `machine` sends."""
-        return self._link(machine, outwards=True)
+    def link_from(self, host: str) -> RateLimitedLink:
+        """Return what carries the bytes that `host` sends."""
+        return self._link(host, outbound=True)
 
-    def link_to(self, machine: str) -> RateLimitedLink:
-        """Return what carries the bytes that `machine` receives."""
-        return self._link(machine, outwards=False)
+    def link_to(self, host: str) -> RateLimitedLink:
+        """Return what carries the bytes that `host` receives."""
+        return self._link(host, outbound=False)
 
-    def _link(self, machine: str, *, outwards: bool) -> RateLimitedLink:
-        key = machine, outwards
+    def _link(self, host: str, *, outbound: bool) -> RateLimitedLink:
+        key = host, outbound
         if key not in self._links:
-            self._links[key] = RateLimitedLink(self._clock, self._rate(machine))
+            self._links[key] = RateLimitedLink(self._clock, self._rate(host))
         return self._links[key]
 
-    def connected(self, one: str, other: str) -> bool:
+    def connected(self, first: str, second: str) -> bool:
         """Tell whether two hosts reach one another."""
-        return self.groups.get(one, 0) == self.groups.get(other, 0)
+        return self.groups.get(first, 0) == self.groups.get(second, 0)
 
     def reset(self, host: str) -> None:
         """End every connection of `host`, as the end of its process does."""
@@ -108,7 +108,7 @@
         if self.silent or not self._network.connected(self.here, self.there):
             return
         data = encode_frame(messages)
-        await self._network.link_from(self.here).carry(len(data))
+        await self._network.link_from(self.here).transmit(len(data))
         try:
             await self._sending.send(data)
         except (anyio.ClosedResourceError, anyio.BrokenResourceError) as error:
@@ -120,8 +120,8 @@
             data = await self._receiving.receive()
         except (anyio.ClosedResourceError, anyio.EndOfStream) as error:
             raise StreamClosedError("closed") from error
-        await self._clock.sleep(ONE_WAY)
-        await self._network.link_to(self.here).carry(len(data))
+        await self._clock.sleep(ONE_WAY_DELAY)
+        await self._network.link_to(self.here).transmit(len(data))
         await self._gate.wait()
         return decode_frame(data)
 
@@ -159,28 +159,28 @@
             raise StreamClosedError("no answer")
         if host is None:
             raise NobodyListensError("refused")
-        to_there, from_here = anyio.create_memory_object_stream[bytes](math.inf)
-        to_here, from_there = anyio.create_memory_object_stream[bytes](math.inf)
-        near = MemoryStream(
+        to_remote, from_local = anyio.create_memory_object_stream[bytes](math.inf)
+        to_local, from_remote = anyio.create_memory_object_stream[bytes](math.inf)
+        local = MemoryStream(
             self._network,
             self._here,
             address,
             self._clock,
             self._gate,
-            to_there,
-            from_there,
+            to_remote,
+            from_remote,
         )
-        far = MemoryStream(
+        remote = MemoryStream(
             self._network,
             address,
             self._here,
             self._clock,
             host.gate,  # type: ignore[attr-defined]
-            to_here,
-            from_here,
+            to_local,
+            from_local,
         )
-        host.accept(far)  # type: ignore[attr-defined]
-        return near
+        host.accept(remote)  # type: ignore[attr-defined]
+        return local
 
 
 __all__ = ["MemoryStream", "MemoryStreamOpener", "StreamNetwork"]
--- a/src/brasstray_standins/memory_system.py
+++ b/src/brasstray_standins/memory_system.py
@@ -97,17 +97,24 @@
         for centre in self.data_centres:
             for number in range(self._size.hosts_each):
                 name = f"{centre}-entry-{number}"
-                self._list(ListedHost(name=name, kind=HostKind.ENTRY, **_at(centre)))
+                self._add_to_list(
+                    ListedHost(name=name, kind=HostKind.ENTRY, **_location(centre))
+                )
             for number in range(self._size.minions_each):
                 name = f"{centre}-minion-{number}"
                 self.minions[name] = StandInMinion(name, self.clock, self._size.slots)
                 for service in (LEAVE, RERUN):
                     listed = ListedHost(
-                        name=name, kind=HostKind.MINION, service=service, **_at(centre)
+                        name=name,
+                        kind=HostKind.MINION,
+                        service=service,
+                        **_location(centre),
+                    )
+                    self._add_to_list(
+                        listed.model_copy(update={"slots": self._size.slots})
                     )
-                    self._list(listed.model_copy(update={"slots": self._size.slots}))
 
-    def _list(self, host: ListedHost) -> None:
+    def _add_to_list(self, host: ListedHost) -> None:
         self._listed.append(host)
         self.platform.list_hosts(self._listed)
 
@@ -182,13 +189,13 @@
     def end(self) -> None:
         """Let every stopped process go on, so that it can end."""
         for gate in self._gates.values():
-            gate.remove()
+            gate.release()
 
     def isolate(self, names: set[HostName]) -> None:
         """Cut `names` off from every other entry host."""
-        for inside in names:
-            for outside in set(self.hosts) - names:
-                self.network.cut(inside, outside)
+        for member in names:
+            for other in set(self.hosts) - names:
+                self.network.cut(member, other)
 
     def cut_platform(self, names: set[HostName]) -> None:
         """Cut `names` off from the platform, and only those."""
@@ -242,21 +249,23 @@
 
         Raise CallerCutOffError if the host's process ends before it answers.
         """
-        patience = timedelta(seconds=wait)
-        return await self._on(
-            host, lambda: host.jobs.submit(CALLER, key, request, patience)
+        timeout = timedelta(seconds=wait)
+        return await self._call_host(
+            host, lambda: host.jobs.submit(CALLER, key, request, timeout)
         )
 
     async def fetch(self, host: EntryHost, key: str, wait: float = 0) -> Answer:
         """Ask for the answer to a job as the usual caller."""
-        patience = timedelta(seconds=wait)
-        return await self._on(host, lambda: host.jobs.fetch(CALLER, key, patience))
+        timeout = timedelta(seconds=wait)
+        return await self._call_host(
+            host, lambda: host.jobs.fetch(CALLER, key, timeout)
+        )
 
     async def cancel(self, host: EntryHost, key: str) -> Answer:
         """Cancel a job as the usual caller."""
-        return await self._on(host, lambda: host.jobs.cancel(CALLER, key))
+        return await self._call_host(host, lambda: host.jobs.cancel(CALLER, key))
 
-    async def _on(
+    async def _call_host(
         self, host: EntryHost, call: Callable[[], Awaitable[Answer]]
     ) -> Answer:
         name = host.config.host
@@ -291,14 +300,14 @@
 
 class _PlatformView:
     def __init__(self, system: MemorySystem, host: HostName) -> None:
-        self._world = system
+        self._system = system
         self._host = host
 
     def __getattr__(self, name: str) -> Any:
-        method = getattr(self._world.platform, name)
+        method = getattr(self._system.platform, name)
 
         async def call(*args: Any) -> Any:
-            if not self._world.reaches_platform(self._host):
+            if not self._system.reaches_platform(self._host):
                 raise StoreUnavailableError(f"{self._host} is cut off")
             return await method(*args)
 
@@ -315,7 +324,7 @@
     return JobRequest.model_validate(body | changes)
 
 
-def _at(centre: DataCentreName) -> dict:
+def _location(centre: DataCentreName) -> dict:
     return {"data_centre": centre, "address": "127.0.0.1", "port": 1}
 
 
--- a/src/brasstray_standins/minion.py
+++ b/src/brasstray_standins/minion.py
@@ -54,7 +54,7 @@
         self._slots = slots
         self._running = 0
         self._starts: Counter[str] = Counter()
-        self._died = anyio.Event()
+        self._killed = anyio.Event()
         self.mode = MinionMode.WORKING
         self.slowness = 1.0
 
@@ -71,7 +71,7 @@
     def die(self) -> None:
         """End everything that runs, without a reply."""
         self.mode = MinionMode.DEAD
-        self._died.set()
+        self._killed.set()
 
     async def run(self, task: str, payload: JsonValue) -> MinionResult:
         """Run `task` for as long as its payload's `run_ms` says."""
@@ -97,7 +97,7 @@
         run_ms = payload.get("run_ms", 0) if isinstance(payload, dict) else 0
         duration = timedelta(milliseconds=run_ms) * self.slowness  # type: ignore[arg-type]
         with anyio.move_on_after(duration.total_seconds()):
-            await self._died.wait()
+            await self._killed.wait()
             return MinionResult(MinionReply.LOST)
         return MinionResult(MinionReply.DONE, {"task": task, "by": self._name})
 
--- a/src/brasstray_standins/minion_app.py
+++ b/src/brasstray_standins/minion_app.py
@@ -27,8 +27,8 @@
         """Answer one start."""
         body = await read_body(receive, MAX_BODY_BYTES)
         try:
-            asked = json.loads(body or b"")
-            task, payload = str(asked["task"]), asked["payload"]
+            request = json.loads(body or b"")
+            task, payload = str(request["task"]), request["payload"]
         except (ValueError, KeyError, TypeError):
             await json_response(400, {"detail": "a task and a payload"}).send(send)
             return
@@ -40,13 +40,13 @@
             await response.send(send)
 
     async def _run(self, task: str, payload: object) -> HttpResponse | None:
-        ended = await self._minion.run(task, payload)  # type: ignore[arg-type]
-        match ended.reply:
+        outcome = await self._minion.run(task, payload)  # type: ignore[arg-type]
+        match outcome.reply:
             case MinionReply.DONE:
-                return json_response(200, {"result": ended.result})
+                return json_response(200, {"result": outcome.result})
             case MinionReply.FULL | MinionReply.LEAVING:
-                headers = (("not-run", ended.reply.value),)
-                return json_response(503, {"detail": ended.reply.value}, headers)
+                headers = (("not-run", outcome.reply.value),)
+                return json_response(503, {"detail": outcome.reply.value}, headers)
             case MinionReply.FAILED:
                 return json_response(500, {"detail": "the task failed"})
         return None
--- a/src/brasstray_standins/platform_app.py
+++ b/src/brasstray_standins/platform_app.py
@@ -55,10 +55,10 @@
         if path == "/hosts":
             hosts = await self._platform.hosts()
             listed = [host.model_dump(mode="json") for host in hosts]
-            tag = f'"{digest_of(repr(listed).encode())}"'
-            if header(scope, "if-none-match") == tag:
+            etag = f'"{digest_of(repr(listed).encode())}"'
+            if header(scope, "if-none-match") == etag:
                 return HttpResponse(304)
-            return json_response(200, listed, (("etag", tag),))
+            return json_response(200, listed, (("etag", etag),))
         if path == "/starts":
             return json_response(200, self._starts())
         if path == "/switches/down":
--- a/src/brasstray_standins/pool_system.py
+++ b/src/brasstray_standins/pool_system.py
@@ -50,8 +50,8 @@
 CONFIG_KEY = f"{OPERATOR_PREFIX}config"
 EVACUATION_PREFIX = f"{OPERATOR_PREFIX}evacuate/"
 TICK = timedelta(milliseconds=1)
-STRONG_POWER = 4.0
-STRONG_LINK = 8.0
+STRONG_HOST_POWER = 4.0
+STRONG_HOST_LINK_FACTOR = 8.0
 USUAL_NEEDS = Resources(6_800, 64)
 USUAL_DURATION = timedelta(milliseconds=60)
 
@@ -96,8 +96,8 @@
         return OperatorEntries(
             self.parse(text) if text else None,
             as_of,
-            _centres(name for name, value in values.items() if value == b"{}"),
-            _centres(removed),
+            _data_centres_in(name for name, value in values.items() if value == b"{}"),
+            _data_centres_in(removed),
         )
 
     def parse(self, text: bytes) -> Configuration:
@@ -108,7 +108,7 @@
         return Configuration(ConfigVersion(version), (usual_queue(),), text=text)
 
 
-def _centres(names: Iterable[str]) -> frozenset[DataCentreName]:
+def _data_centres_in(names: Iterable[str]) -> frozenset[DataCentreName]:
     """Return the data centres that the names of entries on evacuations end in."""
     found = (name.partition(EVACUATION_PREFIX) for name in names)
     return frozenset(DataCentreName(end) for _, prefix, end in found if prefix)
@@ -136,24 +136,24 @@
     gate: Gate
     scope: anyio.CancelScope
     group: TaskGroup
-    served: list[anyio.CancelScope] = field(default_factory=list)
+    connections: list[anyio.CancelScope] = field(default_factory=list)
     callers: list[anyio.CancelScope] = field(default_factory=list)
 
     def accept(self, stream: MemoryStream) -> None:
         """Serve a connection that another host opens."""
         scope = anyio.CancelScope()
-        self.served.append(scope)
+        self.connections.append(scope)
         self.group.start_soon(self._serve, stream, scope)
 
     async def _serve(self, stream: MemoryStream, scope: anyio.CancelScope) -> None:
         with scope:
             await self.host.serve(stream)
 
-    def end(self) -> None:
+    def terminate(self) -> None:
         """End the process."""
-        for scope in (self.scope, *self.served, *self.callers):
+        for scope in (self.scope, *self.connections, *self.callers):
             scope.cancel()
-        self.gate.remove()
+        self.gate.release()
 
 
 def usual_queue() -> Queue:
@@ -252,7 +252,7 @@
         """Start a process on the host called `name`."""
         gate = Gate()
         clock = GatedClock(self.clock, gate)
-        view = StoreView(self.store, name, clock, self.network.link_to(name))
+        store_view = StoreView(self.store, name, clock, self.network.link_to(name))
         calls = LeasedMinions(self.places, clock, self.group, gate)
         identity = HostIdentity(
             HostName(name),
@@ -266,9 +266,9 @@
             clock,
             self.random,
             self.clock.monotonic,
-            view,
-            _StoreOperatorSource(view),
-            _MinionList(view, self),
+            store_view,
+            _StoreOperatorSource(store_view),
+            _MinionList(store_view, self),
             calls,
             MemoryStreamOpener(self.network, name, clock, gate),
             EventLog(self.metrics),
@@ -283,13 +283,13 @@
         return running
 
     def _power(self, name: str) -> float:
-        return STRONG_POWER if self._is_strong(name) else 1.0
+        return STRONG_HOST_POWER if self._is_strong(name) else 1.0
 
     def _link_rate(self, name: str) -> float | None:
         rate = self.size.link_rate
         if rate is None or not self._is_strong(name):
             return rate
-        return rate * STRONG_LINK
+        return rate * STRONG_HOST_LINK_FACTOR
 
     def _is_strong(self, name: str) -> bool:
         return int(name.rpartition("-h")[2]) < self.size.strong_each
@@ -301,7 +301,7 @@
     def kill(self, name: str) -> None:
         """End a process; its connections are reset."""
         running = self.hosts.pop(name)
-        running.end()
+        running.terminate()
         self.network.listening.pop(name, None)
         self.network.reset(name)
 
--- a/src/brasstray_standins/rate_limited_link.py
+++ b/src/brasstray_standins/rate_limited_link.py
@@ -9,7 +9,7 @@
     from brasstray.clock.clock import Clock
 
 # What one sender puts on the link before the next one's turn: two full packets.
-TURN_BYTES = 3_000
+CHUNK_BYTES = 3_000
 
 
 class RateLimitedLink:
@@ -22,25 +22,25 @@
         self._clock = clock
         self._rate = rate
         self._free_at = timedelta(0)
-        self._carried = 0
+        self._bytes_sent = 0
 
     @property
-    def carried(self) -> int:
+    def bytes_sent(self) -> int:
         """Return how many bytes have passed."""
-        return self._carried
+        return self._bytes_sent
 
-    async def carry(self, size: int) -> None:
+    async def transmit(self, size: int) -> None:
         """Return once `size` bytes have passed."""
-        self._carried += size
+        self._bytes_sent += size
         if self._rate is None:
             return
-        left = size
-        while left > 0:
-            turn = min(left, TURN_BYTES)
-            left -= turn
+        remaining = size
+        while remaining > 0:
+            chunk = min(remaining, CHUNK_BYTES)
+            remaining -= chunk
             now = self._clock.monotonic()
-            begins = max(now, self._free_at)
-            self._free_at = begins + timedelta(seconds=turn / self._rate)
+            starts_at = max(now, self._free_at)
+            self._free_at = starts_at + timedelta(seconds=chunk / self._rate)
             await self._clock.sleep(self._free_at - now)
 
 
