--- a/src/brasstray_standins/__init__.py
+++ b/src/brasstray_standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand in for the platform, the minions and the balancer."""
+"""Provide test doubles of the platform, the minions and the load balancer."""
--- a/src/brasstray_standins/__main__.py
+++ b/src/brasstray_standins/__main__.py
@@ -1,4 +1,4 @@
-"""Run the stand-in platform and minions as a process, for real entry daemons."""
+"""Run the stand-in platform and minions in one process for entry daemons to use."""
 
 from __future__ import annotations
 
@@ -63,14 +63,18 @@
 
 
 def run(
-    platform: Annotated[int, typer.Option(help="The platform's port.")] = 7000,
+    platform: Annotated[
+        int, typer.Option(help="The port on which to serve the platform.")
+    ] = 7000,
     minions: Annotated[int, typer.Option(help="Minions per data centre.")] = 4,
     entry: Annotated[
         list[str],
-        typer.Option(help="An entry host's peer port, as PORT or DATA-CENTRE:PORT."),
-    ] = ["9080"],  # noqa: B006 -- typer copies it
+        typer.Option(
+            help="The peer port of an entry host, as PORT or DATA-CENTRE:PORT."
+        ),
+    ] = ["9080"],  # noqa: B006 -- typer copies the list
 ) -> None:
-    """Serve a platform with a host list, and minions, until interrupted."""
+    """Serve the platform, its host list and the minions until interrupted."""
     anyio.run(partial(_serve, platform, minions, entry), backend="asyncio")
 
 
--- a/src/brasstray_standins/balancer_app.py
+++ b/src/brasstray_standins/balancer_app.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's balancer: pick any entry host, blindly."""
+"""Simulate the platform's load balancer, which chooses entry hosts at random."""
 
 from __future__ import annotations
 
@@ -19,10 +19,10 @@
 
 
 class BalancerApp:
-    """Pass a request to a random entry host, and repeat it elsewhere on a failure.
+    """Forward each request to a random entry host, and retry it after a failure.
 
-    It repeats any request whose host it could not reach or that was cut off, as
-    balancers do: callers' keys must make that harmless.
+    Like real load balancers, it retries a request whenever the connection fails, even
+    if the host may have processed it. The callers' idempotency keys make this safe.
     """
 
     def __init__(self, backends: list[tuple[str, int]], random: Random) -> None:
@@ -31,18 +31,18 @@
         self._retries = 0
 
     def add(self, backends: list[tuple[str, int]]) -> None:
-        """Send requests to `backends` too."""
+        """Add `backends` to the hosts that receive requests."""
         self._backends.extend(backends)
 
     @property
     def retries(self) -> int:
-        """Return how many requests were sent again."""
+        """Return the number of retried requests."""
         return self._retries
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
         """Answer one request."""
         body = await read_body(receive, MAX_BODY_BYTES) or b""
-        response = json_response(502, {"detail": "no entry host was reached"})
+        response = json_response(502, {"detail": "no entry host could be reached"})
         for attempt in range(MAX_ATTEMPTS):
             self._retries += attempt > 0
             address, port = self._random.choice(self._backends)
--- a/src/brasstray_standins/call_chaos.py
+++ b/src/brasstray_standins/call_chaos.py
@@ -1,4 +1,4 @@
-"""Draw at random what becomes of calls to minions."""
+"""Choose at random which calls to minions are delayed or lose their response."""
 
 from __future__ import annotations
 
@@ -12,10 +12,10 @@
 
 
 class CallOutcome(Enum):
-    """Tell what becomes of a call.
+    """Classify what happens to a call.
 
-    UNANSWERED: it is carried out and its response lost. LATE: it is carried out later,
-    and has no response.
+    An UNANSWERED call is executed and its response is lost. A LATE call is executed
+    after a delay, and has no response either.
     """
 
     ANSWERED = "answered"
@@ -25,7 +25,7 @@
 
 @dataclass
 class CallChaos:
-    """Hold back a share of all calls up to `max_delay`, and lose other responses."""
+    """Delay a share of all calls by up to `max_delay`, and lose other responses."""
 
     random: Random
     delayed_share: float
@@ -33,7 +33,7 @@
     max_delay: timedelta = timedelta(seconds=6)
 
     def draw(self) -> CallOutcome:
-        """Return the fate of one call."""
+        """Return the outcome of one call."""
         sample = self.random.random()
         if sample < self.delayed_share:
             return CallOutcome.LATE
@@ -42,7 +42,7 @@
         return CallOutcome.ANSWERED
 
     def draw_delay(self) -> timedelta:
-        """Return how long a late call is held back."""
+        """Return the delay of a late call."""
         return self.random.random() * self.max_delay
 
 
--- a/src/brasstray_standins/demo.py
+++ b/src/brasstray_standins/demo.py
@@ -1,4 +1,4 @@
-"""Show a whole system on loopback while parts of it fail."""
+"""Run demonstration jobs on a loopback system while parts of it fail."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass
 class DemoJob:
-    """Hold a job of the demonstration and all that was heard of it."""
+    """Hold a job of the demonstration and the answers that its caller received."""
 
     name: str
     file: str
@@ -54,7 +54,7 @@
 
     @property
     def request(self) -> JobRequest:
-        """Return the job's request."""
+        """Return the request that `body` encodes."""
         return JobRequest.model_validate_json(self.body)
 
 
@@ -75,7 +75,7 @@
 
 
 async def run_demo(seed: int, examples: Path) -> DemoReport:
-    """Return what happened to the jobs while hosts and minions failed.
+    """Run the jobs while hosts and minions fail, and return the report.
 
     Raise OSError if the job files are not in `examples`.
     """
@@ -120,7 +120,7 @@
     executor = _find_executor(system, jobs[-1].key)
     if executor is not None:
         system.kill_daemon(executor)
-        report.events.append(f"killed {executor}, which ran: {jobs[-1].name}")
+        report.events.append(f"killed {executor}, which was running: {jobs[-1].name}")
     for job in (jobs[0], jobs[1], jobs[2]):
         callers.start_soon(_call, client, job)
     report.events.append("resubmitted three jobs with the same keys")
@@ -182,19 +182,21 @@
     if first.outcome is Outcome.COMPLETE and not (
         len(done) == len(request.tasks) and all(done)
     ):
-        broken.append(f"{job.name}: a partial answer told as complete")
+        broken.append(f"{job.name}: a partial answer was reported as complete")
     for index, task in enumerate(first.tasks):
         count = starts.get(f"{CALLER}/{job.key}/{index}", 0)
         if task.state is TaskState.NOT_RUN and count > 0:
-            broken.append(f"{job.name}: task {index} ran but was told as not run")
+            broken.append(f"{job.name}: task {index} ran but was reported as not run")
         if task.state is TaskState.DONE and count == 0:
-            broken.append(f"{job.name}: task {index} was told as done but never ran")
+            broken.append(
+                f"{job.name}: task {index} was reported as done but never ran"
+            )
     return broken
 
 
 def render(report: DemoReport) -> str:
-    """Return the report for people."""
-    lines = ["What was done to the system:"]
+    """Return the report as human-readable text."""
+    lines = ["Faults and resubmissions:"]
     lines += [f"  {event}" for event in report.events]
     lines.append("Jobs:")
     for job in report.jobs:
@@ -204,8 +206,8 @@
             f"  {job.name}: {job.outcome}{reason}",
             f"    tasks: {states}; most starts of a task: {job.most_starts}; "
             f"resubmitted {job.resubmissions} times",
-            f"    response {job.response_ms} ms; ideal, alone on its data centre's "
-            f"slots: {job.ideal_ms} ms",
+            f"    response {job.response_ms} ms; ideal, with its data centre's slots "
+            f"to itself: {job.ideal_ms} ms",
         ]
     lines.append("Counts:")
     for counter, counts in sorted(report.counts.items()):
--- a/src/brasstray_standins/demo_report.py
+++ b/src/brasstray_standins/demo_report.py
@@ -1,4 +1,4 @@
-"""Hold what a demonstration showed."""
+"""Define the report of a demonstration."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 @dataclass(frozen=True)
 class JobReport:
-    """Hold what became of one job."""
+    """Hold the outcome of one job and how often its tasks started."""
 
     name: str
     repeatable: bool
@@ -23,7 +23,7 @@
 
 @dataclass
 class DemoReport:
-    """Hold the jobs, counts and broken rules of one run."""
+    """Hold the jobs, events, counters and violated guarantees of one run."""
 
     jobs: list[JobReport] = field(default_factory=list)
     events: list[str] = field(default_factory=list)
@@ -31,7 +31,7 @@
     broken_rules: list[str] = field(default_factory=list)
 
     def as_json(self) -> dict[str, Any]:
-        """Return the report for programs."""
+        """Return the report as a dictionary that JSON can encode."""
         return asdict(self)
 
 
--- a/src/brasstray_standins/gate.py
+++ b/src/brasstray_standins/gate.py
@@ -1,4 +1,4 @@
-"""Freeze one entry host as a stopped process would be."""
+"""Suspend a simulated host, as SIGSTOP suspends a process."""
 
 from __future__ import annotations
 
@@ -13,9 +13,9 @@
 
 
 class Gate:
-    """Hold back everything that passes while closed.
+    """Block every waiter while closed.
 
-    A gate that is closed again before it was opened stays closed until both ends.
+    Closings nest: the gate opens after as many calls of `open` as of `close`.
     """
 
     def __init__(self) -> None:
@@ -24,31 +24,34 @@
         self._close_count = 0
 
     def close(self) -> None:
-        """Hold back what comes."""
+        """Block waiters until a matching `open`."""
         if not self._close_count:
             self._open = anyio.Event()
         self._close_count += 1
 
     def open(self) -> None:
-        """Let everything pass, unless it was closed once more."""
+        """Undo one `close`; release the waiters if it was the last one."""
         self._close_count = max(0, self._close_count - 1)
         if not self._close_count:
             self._open.set()
 
     def release(self) -> None:
-        """Let everything pass for good, as the process has ended."""
+        """Open the gate however often it was closed, since the process has ended."""
         self._close_count = 0
         self._open.set()
 
     async def wait(self) -> None:
-        """Wait until open; shielded, since a stopped process has no timeouts."""
+        """Wait until open.
+
+        The wait is shielded, since no timeout fires in a stopped process.
+        """
         if not self._open.is_set():
             with anyio.CancelScope(shield=True):
                 await self._open.wait()
 
 
 class GatedClock:
-    """Sleep for as long as the gate is closed, at least."""
+    """Delay wake-ups until the gate is open."""
 
     def __init__(self, clock: Clock, gate: Gate) -> None:
         self._clock = clock
@@ -59,17 +62,17 @@
         return self._clock.now()
 
     def monotonic(self) -> timedelta:
-        """Return the loop's time."""
+        """Return the event loop's time."""
         return self._clock.monotonic()
 
     async def sleep(self, duration: timedelta) -> None:
-        """Wait for `duration` and for the gate."""
+        """Wait for `duration`, then until the gate is open."""
         await self._clock.sleep(duration)
         await self._gate.wait()
 
 
 class GatedProxy:
-    """Wait for a gate before and after every method call on an object."""
+    """Wait for a gate before and after every method call on `target`."""
 
     def __init__(self, target: Any, gate: Gate) -> None:
         self._target = target
--- a/src/brasstray_standins/ideal.py
+++ b/src/brasstray_standins/ideal.py
@@ -1,4 +1,4 @@
-"""Work out the ideal response time of jobs."""
+"""Compute the ideal response time of a job."""
 
 from __future__ import annotations
 
@@ -7,9 +7,10 @@
 
 
 def ideal_response(run_times_ms: list[int], slots: int) -> timedelta:
-    """Return how long the tasks take on `slots`, sent in order with no delay.
+    """Return how long the tasks take on `slots` slots without any delay.
 
-    The job is alone, every run time is known, and the longest go first.
+    The job has the slots to itself. All run times are known in advance, and the longest
+    tasks start first.
     """
     free_at = [0] * slots
     for run_ms in sorted(run_times_ms, reverse=True):
--- a/src/brasstray_standins/kv_app.py
+++ b/src/brasstray_standins/kv_app.py
@@ -1,4 +1,4 @@
-"""Serve a memory store by the calls of the users' platform."""
+"""Serve the in-memory store over the key-value API of the users' platform."""
 
 from __future__ import annotations
 
@@ -21,7 +21,10 @@
 
 
 class KvApp:
-    """Answer reads, watches and transactions of one key; pages are short on purpose."""
+    """Serve reads, range scans, watches and single-key transactions.
+
+    Pages hold only `PAGE_ITEMS` items, so that clients have to read several.
+    """
 
     def __init__(self, store: MemoryStore) -> None:
         self._store = store
--- a/src/brasstray_standins/leased_minion.py
+++ b/src/brasstray_standins/leased_minion.py
@@ -1,4 +1,4 @@
-"""Stand in for a minion that runs tasks under leases and fencing tokens."""
+"""Simulate a minion that runs tasks under leases and fencing tokens."""
 
 from __future__ import annotations
 
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Work:
-    """Say what a task needs and how long it takes."""
+    """Describe the resources that a task needs and how long it runs."""
 
     needs: Resources
     duration: timedelta
@@ -55,7 +55,7 @@
 
 @dataclass(frozen=True)
 class RecordedStart:
-    """Say which task began on which minion, and when."""
+    """Record which task started on which minion, and when."""
 
     task: TaskName
     minion: MinionEntry
@@ -64,10 +64,10 @@
 
 @dataclass
 class RunBook:
-    """Count the runs of all minions, to see promises broken.
+    """Record the runs of all minions, to detect violated guarantees.
 
-    `broken` lists what went wrong, in words. `works` says what each task takes; a task
-    that is not in it takes `usual`.
+    `broken` lists the violations as messages. `works` holds the work of individual
+    tasks; `usual` applies to all others.
     """
 
     usual: Work
@@ -78,18 +78,19 @@
 
     @property
     def starts(self) -> list[TaskName]:
-        """Return the tasks that began, in order."""
+        """Return the started tasks, in order."""
         return [noted.task for noted in self.noted]
 
     def work(self, task: TaskName) -> Work:
-        """Return what `task` takes."""
+        """Return the resources and duration of `task`."""
         return self.works.get(task, self.usual)
 
 
 class LeasedMinion:
-    """Run tasks by the clock, whatever their capacity, and keep every rule else.
+    """Simulate tasks by the clock, and obey leases, fencing and run numbers.
 
-    The minion's own clock, which leases go by, runs at `clock_rate` of the true one.
+    A start beyond the minion's capacity is accepted and recorded as a violation. The
+    minion's own clock, by which leases expire, runs at `clock_rate` times the true one.
     """
 
     def __init__(
@@ -119,7 +120,7 @@
 
     @property
     def clock_ms(self) -> int:
-        """Return this minion's own clock."""
+        """Return the time of this minion's own clock."""
         return (
             self._clock_offset_ms
             + self._clock.monotonic() * self._clock_rate // _MILLISECOND
@@ -127,22 +128,22 @@
 
     @property
     def running(self) -> set[TaskName]:
-        """Return the tasks at work."""
+        """Return the tasks that have an active run."""
         return set(self._runs)
 
     @property
     def runs(self) -> list[SimulatedRun]:
-        """Return the runs at work, whose work may be changed."""
+        """Return the active runs, which tests may modify."""
         return list(self._runs.values())
 
     def crash(self) -> None:
-        """End all runs; nothing responds here any more."""
+        """End all runs and stop responding."""
         self.alive = False
         for run in list(self._runs.values()):
             self._remove_run(run)
 
     def tick(self) -> None:
-        """Let work go on, and end what is done or whose lease has passed."""
+        """Advance all runs; end those that are finished or whose lease has expired."""
         now = self._clock.monotonic()
         expired = self.clock_ms >= self._lease_until_ms
         for run in list(self._runs.values()):
@@ -187,7 +188,7 @@
         until_ms: int | None,
         wait: timedelta,
     ) -> ProbeReply:
-        """Extend the lease and tell what runs, once a run ends or `wait` is over."""
+        """Extend the lease, and report all runs once one ends or `wait` has passed."""
         self._check_caller(entry, token)
         if until_ms is not None:
             self._extend_lease(until_ms)
@@ -211,7 +212,7 @@
         run: RunNumber,
         until_ms: int,
     ) -> int:
-        """Start a run, and note it if another run of the task is at work."""
+        """Start a run; record a violation if another run of the task is active."""
         self._check_caller(entry, token)
         if self._runs.get(task) and self._runs[task].run == run:
             return self.clock_ms
@@ -254,9 +255,9 @@
         task: TaskName,
         run: RunNumber,
     ) -> None:
-        """Stop a run, or have it refused if it comes later.
+        """Stop a run, and refuse its start if that arrives later.
 
-        What is being stopped is not told as active any more, but uses its room still.
+        A stopping run is no longer reported as active, but still uses its resources.
         """
         self._check_caller(entry, token)
         self._highest_run[task] = max(run, self._highest_run.get(task, RunNumber(0)))
@@ -268,7 +269,7 @@
 async def tick_all(
     minions: Callable[[], list[LeasedMinion]], clock: Clock, interval: timedelta
 ) -> None:
-    """Let the work of `minions` go on until cancelled."""
+    """Advance the runs of `minions` at every `interval` until cancelled."""
     while True:
         await clock.sleep(interval)
         for minion in minions():
--- a/src/brasstray_standins/leased_minion_app.py
+++ b/src/brasstray_standins/leased_minion_app.py
@@ -1,4 +1,4 @@
-"""Serve a leased minion by the calls of the users' platform."""
+"""Serve a leased minion over the HTTP API of the users' platform."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class LeasedMinionApp:
-    """Answer starts, stops and holds."""
+    """Serve the start, stop and hold calls of one minion."""
 
     def __init__(self, minion: LeasedMinion) -> None:
         self._minion = minion
--- a/src/brasstray_standins/leased_minions.py
+++ b/src/brasstray_standins/leased_minions.py
@@ -1,4 +1,4 @@
-"""Reach stand-in minions as a host does, over a network with faults."""
+"""Call simulated minions over a network with injected faults."""
 
 from __future__ import annotations
 
@@ -32,15 +32,17 @@
 
 
 class LeasedMinions:
-    """Call the minions of `places`; faults concern this caller only.
-
-    `cut` minions hear nothing, and `calls` counts the calls to each. `swallowed` counts
-    answers that are still to be lost. `late` holds back that many starts for
-    `lateness`, unanswered, and then has them carried out; `late_holds` holds back that
-    many extensions of leases, whose time counts from when they arrive.
-    `ignored_stops` counts stops that are answered and not carried out. Each call takes
-    `effort` of this caller's processor, one call after the other. `chaos` holds back or
-    loses any call at random.
+    """Call the minions in `places`; the faults affect this caller only.
+
+    cut: minions that can't be reached.
+    calls: the number of calls to each minion.
+    swallowed: how many of the next responses are lost.
+    late: how many of the next starts are executed after `lateness`, without response.
+    late_holds: how many of the next lease extensions are executed after `lateness`,
+        without response; the extension counts from when it arrives.
+    ignored_stops: how many of the next stops are acknowledged but not executed.
+    effort: CPU time that each call takes of this caller, one call at a time.
+    chaos: random delays and losses of any call.
     """
 
     def __init__(
@@ -118,10 +120,10 @@
         timeout: timedelta,
         delay: timedelta,
     ) -> NoReturn:
-        """Leave a call unanswered, and have it carried out after `delay`."""
+        """Execute a call after `delay`, and let the caller time out."""
         self._group.start_soon(self._run_delayed, minion, operation, delay)
         await self._clock.sleep(timeout)
-        raise MinionSilentError("held back")
+        raise MinionSilentError("the call is delayed")
 
     async def _run_delayed(
         self,
@@ -134,7 +136,7 @@
         if place.alive:
             try:
                 await operation(place)
-            except Exception:  # noqa: BLE001, S110 - nobody waits for this answer
+            except Exception:  # noqa: BLE001, S110 - the caller has timed out
                 return
 
     async def stop(
@@ -145,7 +147,7 @@
         run: RunNumber,
         timeout: timedelta,
     ) -> None:
-        """Stop a run, or have it refused if it comes later."""
+        """Stop a run, and have its start refused if that arrives later."""
 
         async def operation(place: LeasedMinion) -> None:
             if self.ignored_stops > 0:
@@ -156,7 +158,7 @@
         await self._call(minion, operation, timeout)
 
     async def forget(self, minion: MinionEntry) -> None:
-        """Close nothing."""
+        """Do nothing, since no connection is kept."""
 
     async def _call(
         self,
--- a/src/brasstray_standins/loopback_system.py
+++ b/src/brasstray_standins/loopback_system.py
@@ -1,4 +1,4 @@
-"""Run a whole system on loopback in one process."""
+"""Run a complete system over loopback sockets in one process."""
 
 from __future__ import annotations
 
@@ -43,14 +43,14 @@
 
 @dataclass
 class RunningDaemon:
-    """Hold an entry daemon and what ends it."""
+    """Hold an entry daemon and the scope that cancels it."""
 
     daemon: Daemon
     scope: anyio.CancelScope
 
 
 class LoopbackSystem:
-    """Run platform, minions, balancer and entry daemons over real sockets."""
+    """Run the platform, minions, balancer and entry daemons over real sockets."""
 
     def __init__(self, group: TaskGroup, seed: int) -> None:
         self._group = group
@@ -66,7 +66,7 @@
         self._scopes: dict[str, anyio.CancelScope] = {}
 
     def start(self) -> None:
-        """Start everything."""
+        """Start the platform, all minions and entry daemons, and the balancer."""
         self._platform_port = self._serve("platform", PlatformApp(self.platform))
         listed = [*self._start_minions(), *self._start_daemons()]
         self.platform.list_hosts(listed)
@@ -162,17 +162,17 @@
             await HttpServer(app).run(listener)
 
     def kill_minion(self, number: int) -> None:
-        """End a minion with everything that it runs."""
+        """Kill a minion and the tasks that it runs."""
         minion = self.minions[number]
         minion.die()
         self._scopes[minion.name].cancel()
 
     def kill_daemon(self, name: str) -> None:
-        """End an entry daemon without a word."""
+        """Kill an entry daemon without a graceful shutdown."""
         self.daemons[name].scope.cancel()
 
     async def settle(self) -> None:
-        """Wait until every data centre's journal has a leader."""
+        """Wait until the journal of every data centre has a leader."""
         while len(self._leaders()) < len(DATA_CENTRES):
             await anyio.sleep(0.05)
         await anyio.sleep(EntryTiming().suspect_after.total_seconds())
@@ -186,7 +186,7 @@
         }
 
     def starts(self, key: str) -> dict[str, int]:
-        """Return how often each task of a job was started."""
+        """Return the number of starts of each task of a job."""
         starts: dict[str, int] = {}
         for minion in self.minions:
             for task, count in minion.starts.items():
--- a/src/brasstray_standins/memory_minions.py
+++ b/src/brasstray_standins/memory_minions.py
@@ -1,4 +1,4 @@
-"""Reach stand-in minions without sockets."""
+"""Call stand-in minions in memory, without sockets."""
 
 from __future__ import annotations
 
@@ -31,7 +31,7 @@
 
 
 class MemoryMinions:
-    """Start tasks on stand-in minions after the delay of a network."""
+    """Start tasks on stand-in minions after a simulated network delay."""
 
     def __init__(
         self,
@@ -46,7 +46,7 @@
 
     @property
     def sends(self) -> int:
-        """Return how many starts were sent."""
+        """Return the number of starts that were sent."""
         return self._sends
 
     async def start(
--- a/src/brasstray_standins/memory_network.py
+++ b/src/brasstray_standins/memory_network.py
@@ -1,4 +1,4 @@
-"""Carry messages between entry hosts in memory, with cuts and pauses."""
+"""Exchange messages between entry hosts in memory, with partitions and pauses."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 
 class MemoryNetwork:
-    """Hold the entry hosts that run, and which of them can't hear each other."""
+    """Connect the running entry hosts, except those that are partitioned."""
 
     def __init__(self, clock: Clock, delay: timedelta = timedelta(milliseconds=1)):
         self._clock = clock
@@ -35,57 +35,57 @@
 
     @property
     def calls(self) -> Counter[str]:
-        """Return how many calls were made, by kind of message."""
+        """Return the number of calls, by kind of message."""
         return Counter(self._calls)
 
     @property
     def bytes(self) -> Counter[str]:
-        """Return how many bytes calls and replies had, by kind of the call."""
+        """Return the bytes of calls and their replies, by kind of the call."""
         return Counter(self._bytes)
 
     def add(self, host: EntryHost, group: TaskGroup, gate: Gate) -> None:
-        """Let `host` be called; its replies are made in `group` and end with it."""
+        """Make `host` reachable; its handlers run in `group` and end with it."""
         self._hosts[host.config.host] = (host, group, gate)
 
     def remove(self, host: HostName) -> None:
-        """Let `host` be called no more."""
+        """Make `host` unreachable."""
         self._hosts.pop(host, None)
 
     def cut(self, first: HostName, second: HostName) -> None:
-        """Let two hosts not hear each other."""
+        """Cut the connection between two hosts in both directions."""
         self._cut.add(frozenset((first, second)))
 
     def heal(self) -> None:
-        """Let all hosts hear each other."""
+        """Restore all connections."""
         self._cut.clear()
 
     def peers_of(self, sender: IncarnationId, host: HostName) -> MemoryPeers:
-        """Return the peers that `host` can call."""
+        """Return the client by which `host` calls its peers."""
         return MemoryPeers(self, sender, host)
 
     async def deliver(
         self, source: HostName, target: HostName, call: Envelope, patience: timedelta
     ) -> Envelope:
-        """Return the reply to `call`, encoded and decoded as on a wire."""
+        """Deliver `call` and return the reply, both as decoded from encoded bytes."""
         assert call.message is not None
         kind = call.message.kind
         self._calls[kind] += 1
         await self._clock.sleep(self._delay)
         if target not in self._hosts or self._is_cut(source, target):
-            raise PeerNotReachedError(f"{target} is not reached")
+            raise PeerNotReachedError(f"{target} cannot be reached")
         host, group, gate = self._hosts[target]
         data = call.encode()
         self._bytes[kind] += len(data)
         arrived = Envelope.decode(data)
         if arrived.receiver not in (None, host.config.incarnation):
-            raise PeerNotReachedError(f"{arrived.receiver} does not run")
+            raise PeerNotReachedError(f"incarnation {arrived.receiver} is not running")
         pending_call = _PendingCall(arrived)
         group.start_soon(pending_call.run, host, gate)
         with anyio.move_on_after(patience.total_seconds()):
             await pending_call.finished.wait()
             await self._clock.sleep(self._delay)
         if pending_call.reply is None or self._is_cut(source, target):
-            raise PeerReplyLostError(f"{target} gave no reply")
+            raise PeerReplyLostError(f"no reply from {target}")
         if self.lose_replies > 0:
             self.lose_replies -= 1
             raise PeerReplyLostError("the reply was lost")
@@ -120,7 +120,7 @@
 
 
 class MemoryPeers:
-    """Call entry hosts over a network in memory."""
+    """Call entry hosts over an in-memory network."""
 
     def __init__(
         self, network: MemoryNetwork, sender: IncarnationId, host: HostName
--- a/src/brasstray_standins/memory_platform.py
+++ b/src/brasstray_standins/memory_platform.py
@@ -1,4 +1,4 @@
-"""Stand in for the platform's key-value service and host list, in memory."""
+"""Simulate the platform's key-value store and host list in memory."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 
 class MemoryPlatform:
-    """Keep entries with versions and leases, and a list of hosts."""
+    """Store versioned entries with leases, and a list of hosts."""
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
@@ -40,16 +40,16 @@
 
     @property
     def switches(self) -> PlatformFaults:
-        """Return the faults that can be turned on."""
+        """Return the injected faults, which may be changed."""
         return self._switches
 
     @property
     def calls(self) -> int:
-        """Return how many calls were made."""
+        """Return the number of calls."""
         return self._calls
 
     def list_hosts(self, hosts: list[ListedHost]) -> None:
-        """Replace the list; readers see it once the list is not frozen."""
+        """Replace the host list; readers see the new one once it is not frozen."""
         self._hosts = list(hosts)
 
     async def _begin_call(self) -> None:
@@ -92,7 +92,9 @@
         """Write `value` if the version is `expected`; return the new version."""
         await self._begin_call()
         if len(value) > MAX_VALUE_BYTES:
-            raise StoreConflictError(f"{name}: the value is over {MAX_VALUE_BYTES}")
+            raise StoreConflictError(
+                f"{name}: the value is larger than {MAX_VALUE_BYTES} bytes"
+            )
         current = self._entries.get(name)
         if (current.version if current else ABSENT) != expected:
             raise StoreConflictError(name)
@@ -105,7 +107,7 @@
         return version
 
     async def scan(self, prefix: str, after: str = "") -> list[StoreEntry]:
-        """Return a page of entries under `prefix` named beyond `after`, in order."""
+        """Return a page of entries under `prefix`, in order of name, after `after`."""
         await self._begin_call()
         names = sorted(n for n in self._entries if n.startswith(prefix) and n > after)
         return [self._entries[name] for name in names[:PAGE_ENTRIES]]
@@ -117,14 +119,14 @@
         self._maybe_lose_reply()
 
     async def grant(self, duration: timedelta) -> int:
-        """Return a new lease that ends after `duration` unless kept alive."""
+        """Return a new lease that expires after `duration` unless renewed."""
         await self._begin_call()
         lease = next(self._leases)
         self._lease_expiry[lease] = self._clock.monotonic() + duration
         return lease
 
     async def keep_alive(self, lease: int, duration: timedelta) -> bool:
-        """Prolong `lease`; return False if it has ended."""
+        """Renew `lease`; return False if it has expired."""
         await self._begin_call()
         if lease not in self._lease_expiry:
             return False
@@ -134,7 +136,7 @@
     async def watch(
         self, prefix: str, since: int, timeout: timedelta
     ) -> list[StoreEntry]:
-        """Return entries under `prefix` newer than `since`, waiting for the first."""
+        """Return entries under `prefix` newer than `since`; wait for one if none is."""
         await self._begin_call()
         with anyio.move_on_after(timeout.total_seconds()):
             while not (found := self._entries_since(prefix, since)):
@@ -147,7 +149,7 @@
         return [e for e in entries if e.name.startswith(prefix) and e.version > since]
 
     async def hosts(self) -> list[ListedHost]:
-        """Return the list of hosts, an old one while it is frozen."""
+        """Return the host list, or the last one read before it was frozen."""
         await self._begin_call()
         if not self._switches.freeze_list:
             self._visible_hosts = list(self._hosts)
--- a/src/brasstray_standins/memory_store.py
+++ b/src/brasstray_standins/memory_store.py
@@ -1,4 +1,4 @@
-"""Stand in for a key-value service that tells of changes, in memory."""
+"""Simulate a key-value store with watches, in memory."""
 
 from __future__ import annotations
 
@@ -22,14 +22,15 @@
     from brasstray_standins.rate_limited_link import RateLimitedLink
 
 CALL_DELAY = timedelta(milliseconds=4)
-# Values come as base64 text.
+# Values are transmitted as base64 text.
 BASE64_FACTOR = 4 / 3
 
 
 class MemoryStore:
-    """Hold entries and their history; all hosts share one.
+    """Hold the entries and their history, which all hosts share.
 
-    Hosts in `cut` reach nothing; watches of those in `silent_watches` tell nothing.
+    Hosts in `cut` can't reach the store. Watches of hosts in `silent_watches` return no
+    response while the host is in that set.
     """
 
     def __init__(self, clock: Clock) -> None:
@@ -44,7 +45,7 @@
         self.silent_watches: set[str] = set()
 
     def put(self, name: str, value: bytes) -> int:
-        """Write without a condition, as the operator does; return the version."""
+        """Write unconditionally, as an operator does; return the new version."""
         self._version += 1
         entry = self._entries[name] = StoreEntry(name, value, self._version)
         self._history.append(entry)
@@ -52,14 +53,14 @@
         return self._version
 
     def remove(self, name: str) -> None:
-        """Take an entry away."""
+        """Remove an entry and record the removal in the history."""
         self._version += 1
         self._entries.pop(name, None)
         self._history.append(StoreEntry(name, b"", self._version))
         self._notify()
 
     def compact(self) -> None:
-        """Drop the history and cut the watches."""
+        """Drop the history; active watches from an older version fail."""
         self._history.clear()
         self._compacted_version = self._version
         self._notify()
@@ -69,19 +70,19 @@
         self._change_event = anyio.Event()
 
     def entries(self, prefix: str) -> tuple[StoreEntry, ...]:
-        """Return the entries under `prefix`, in order."""
+        """Return the entries under `prefix`, in order of name."""
         found = [e for n, e in sorted(self._entries.items()) if n.startswith(prefix)]
         return tuple(found)
 
     async def swap(self, name: str, value: bytes, expected: int) -> int:
-        """Write if the version is `expected`."""
+        """Write if the current version is `expected`; return the new version."""
         found = self._entries.get(name)
         if (found.version if found else 0) != expected:
             raise StoreConflictError(name)
         return self.put(name, value)
 
     async def watch(self, prefix: str, after: int, wait: timedelta) -> Changes:
-        """Return the changes after a version, or none after `wait`."""
+        """Return the changes after version `after`, or none once `wait` has passed."""
         with anyio.move_on_after(wait.total_seconds()):
             while not self._changes_since(prefix, after):
                 await self._change_event.wait()
@@ -98,12 +99,12 @@
         ]
 
     def snapshot(self, prefix: str) -> Snapshot:
-        """Return all entries under `prefix`."""
+        """Return all entries under `prefix` and the store's version."""
         return Snapshot(self.entries(prefix), self._version)
 
 
 class StoreView:
-    """Reach a store as one host does."""
+    """Access the store as one host, with its delays, link and failures."""
 
     def __init__(
         self, store: MemoryStore, host: str, clock: Clock, link: RateLimitedLink
@@ -116,20 +117,20 @@
     async def _begin_call(self) -> None:
         await self._clock.sleep(CALL_DELAY)
         if self._store.down or self._host in self._store.cut:
-            raise StoreUnavailableError("the store is out of reach")
+            raise StoreUnavailableError("the store cannot be reached")
 
     async def get(self, name: str) -> StoreEntry | None:
-        """Return the entry called `name`."""
+        """Return the entry called `name`, if there is one."""
         await self._begin_call()
         return next((e for e in self._store.entries(name) if e.name == name), None)
 
     async def swap(self, name: str, value: bytes, expected: int) -> int:
-        """Write if the version is `expected`."""
+        """Write if the current version is `expected`; return the new version."""
         await self._begin_call()
         return await self._store.swap(name, value, expected)
 
     async def scan(self, prefix: str, after: str = "") -> list[StoreEntry]:
-        """Return the entries under `prefix` beyond `after`."""
+        """Return the entries under `prefix` whose names follow `after`."""
         await self._begin_call()
         return [e for e in self._store.entries(prefix) if e.name > after]
 
@@ -139,14 +140,14 @@
         self._store.remove(name)
 
     async def snapshot(self, prefix: str) -> Snapshot:
-        """Return all entries under `prefix`."""
+        """Return all entries under `prefix` and the store's version."""
         await self._begin_call()
         found = self._store.snapshot(prefix)
         await self._receive(found.entries)
         return found
 
     async def watch(self, prefix: str, after: int, wait: timedelta) -> Changes:
-        """Return the changes after a version, or none after `wait`."""
+        """Return the changes after version `after`, or none once `wait` has passed."""
         await self._begin_call()
         changes = await self._store.watch(prefix, after, wait)
         while self._host in self._store.silent_watches:
--- a/src/brasstray_standins/memory_streams.py
+++ b/src/brasstray_standins/memory_streams.py
@@ -1,4 +1,4 @@
-"""Carry messages between hosts in memory, over a network that can be cut."""
+"""Connect hosts by in-memory message streams that can be partitioned."""
 
 from __future__ import annotations
 
@@ -27,11 +27,12 @@
 
 
 class StreamNetwork:
-    """Know where hosts listen and which of them are cut off from one another.
+    """Track listening hosts, open streams and network partitions.
 
-    A connection that was cut stays silent after the cut has healed; new ones work.
-    `opening` is how long a connection takes to open. `rate` tells how many bytes a
-    second the link of a machine carries each way; None for any number at once.
+    A stream that a partition has cut stays silent after the partition has healed; new
+    streams work. `opening` is how long a stream takes to open. `rate` returns the
+    bandwidth of a host's link in bytes per second each way, or None for no limit.
+    `sent` counts all messages.
     """
 
     def __init__(
@@ -47,18 +48,18 @@
         self.sent = 0
 
     def cut(self, groups: dict[str, int]) -> None:
-        """Let only hosts of the same number in `groups` reach one another."""
+        """Partition the network: only hosts with equal numbers in `groups` connect."""
         self.groups = groups
         for stream in self.streams:
             if not self.connected(stream.here, stream.there):
                 stream.silent = True
 
     def link_from(self, host: str) -> RateLimitedLink:
-        """Return what carries the bytes that `host` sends."""
+        """Return the link over which `host` sends."""
         return self._link(host, outbound=True)
 
     def link_to(self, host: str) -> RateLimitedLink:
-        """Return what carries the bytes that `host` receives."""
+        """Return the link over which `host` receives."""
         return self._link(host, outbound=False)
 
     def _link(self, host: str, *, outbound: bool) -> RateLimitedLink:
@@ -68,18 +69,18 @@
         return self._links[key]
 
     def connected(self, first: str, second: str) -> bool:
-        """Tell whether two hosts reach one another."""
+        """Return whether two hosts are in the same partition."""
         return self.groups.get(first, 0) == self.groups.get(second, 0)
 
     def reset(self, host: str) -> None:
-        """End every connection of `host`, as the end of its process does."""
+        """Close every stream of `host`, as happens when its process ends."""
         for stream in list(self.streams):
             if host in (stream.here, stream.there):
                 stream.break_off()
 
 
 class MemoryStream:
-    """Hold one end of a connection."""
+    """Hold one end of a stream between two hosts."""
 
     def __init__(
         self,
@@ -102,7 +103,7 @@
         network.streams.append(self)
 
     async def send(self, messages: list[PoolMessage]) -> None:
-        """Send `messages`; they are lost if the hosts are cut off."""
+        """Send `messages`; they are lost if a partition separates the hosts."""
         await self._gate.wait()
         self._network.sent += len(messages)
         if self.silent or not self._network.connected(self.here, self.there):
@@ -126,11 +127,11 @@
         return decode_frame(data)
 
     async def aclose(self) -> None:
-        """End the connection."""
+        """Close the stream."""
         self.break_off()
 
     def break_off(self) -> None:
-        """End the connection at once."""
+        """Close the stream immediately."""
         self._sending.close()
         self._receiving.close()
         if self in self._network.streams:
@@ -138,7 +139,7 @@
 
 
 class MemoryStreamOpener:
-    """Open connections from one host."""
+    """Open streams from one host."""
 
     def __init__(
         self, network: StreamNetwork, here: str, clock: Clock, gate: Gate
@@ -149,14 +150,14 @@
         self._gate = gate
 
     async def open(self, address: str, port: int) -> MemoryStream:
-        """Return a connection to the host called `address`."""
+        """Return a new stream to the host called `address`."""
         del port
         await self._gate.wait()
         await self._clock.sleep(self._network.opening)
         host = self._network.listening.get(address)
         if not self._network.connected(self._here, address):
             await self._clock.sleep(OPEN_TIMEOUT)
-            raise StreamClosedError("no answer")
+            raise StreamClosedError("the connection timed out")
         if host is None:
             raise NobodyListensError("refused")
         to_remote, from_local = anyio.create_memory_object_stream[bytes](math.inf)
--- a/src/brasstray_standins/memory_system.py
+++ b/src/brasstray_standins/memory_system.py
@@ -1,4 +1,4 @@
-"""Build a whole system in memory: platform, entry hosts, minions."""
+"""Build a complete system in memory: platform, entry hosts and minions."""
 
 from __future__ import annotations
 
@@ -45,12 +45,12 @@
 
 
 class CallerCutOffError(Exception):
-    """The process that a caller was connected to has ended."""
+    """Report that the process that a caller was connected to has ended."""
 
 
 @dataclass(frozen=True)
 class SystemSize:
-    """Hold how many data centres, hosts and minions there are."""
+    """Hold the number of data centres, and of hosts, minions and slots in each."""
 
     data_centres: int = 1
     hosts_each: int = 3
@@ -59,7 +59,7 @@
 
 
 class MemorySystem:
-    """Run entry hosts in one task group, each killable by itself."""
+    """Run entry hosts that can be killed, paused and partitioned individually."""
 
     def __init__(
         self,
@@ -119,13 +119,13 @@
         self.platform.list_hosts(self._listed)
 
     def relist(self, hosts: list[ListedHost]) -> None:
-        """Replace the platform's list."""
+        """Replace the platform's host list."""
         self._listed = hosts
         self.platform.list_hosts(hosts)
 
     @property
     def listed(self) -> list[ListedHost]:
-        """Return the platform's list."""
+        """Return the platform's host list."""
         return list(self._listed)
 
     def start_all(self) -> None:
@@ -173,48 +173,48 @@
                 await host.run()
 
     def kill(self, name: HostName) -> None:
-        """End the process on the host called `name`, without a word."""
+        """Kill the process on the host called `name` without a graceful shutdown."""
         self.network.remove(name)
         self._scopes[name].cancel()
         self.hosts.pop(name, None)
 
     def pause(self, name: HostName) -> None:
-        """Stop the process on the host called `name`, as SIGSTOP would."""
+        """Suspend the process on the host called `name`, as SIGSTOP would."""
         self._gates[name].close()
 
     def resume(self, name: HostName) -> None:
-        """Let a stopped process go on."""
+        """Resume a suspended process."""
         self._gates[name].open()
 
     def end(self) -> None:
-        """Let every stopped process go on, so that it can end."""
+        """Resume every suspended process, so that it can be cancelled."""
         for gate in self._gates.values():
             gate.release()
 
     def isolate(self, names: set[HostName]) -> None:
-        """Cut `names` off from every other entry host."""
+        """Partition `names` from every other entry host."""
         for member in names:
             for other in set(self.hosts) - names:
                 self.network.cut(member, other)
 
     def cut_platform(self, names: set[HostName]) -> None:
-        """Cut `names` off from the platform, and only those."""
+        """Make the platform unreachable for `names`, and reachable for all others."""
         self._without_platform = names
 
     def reaches_platform(self, name: HostName) -> bool:
-        """Tell whether the host called `name` reaches the platform."""
+        """Return whether the host called `name` can reach the platform."""
         return name not in self._without_platform
 
     def host(self, number: int, centre: int = 0) -> EntryHost:
-        """Return an entry host by its number in a data centre."""
+        """Return the entry host with the given number in a data centre."""
         return self.hosts[HostName(f"dc-{centre}-entry-{number}")]
 
     def name(self, number: int, centre: int = 0) -> HostName:
-        """Return the name of an entry host by its number in a data centre."""
+        """Return the name of the entry host with the given number in a data centre."""
         return HostName(f"dc-{centre}-entry-{number}")
 
     def leader(self, centre: int = 0) -> EntryHost | None:
-        """Return the host that leads the journal of a data centre."""
+        """Return the host that leads the journal of a data centre, if there is one."""
         for host in self.hosts.values():
             if host.config.data_centre != self.data_centres[centre]:
                 continue
@@ -224,12 +224,12 @@
         return None
 
     def bystander(self, *others: EntryHost, centre: int = 0) -> EntryHost:
-        """Return a host of a data centre that neither leads nor is one of `others`."""
+        """Return a host of a data centre that is neither its leader nor in `others`."""
         for host in self.hosts.values():
             in_centre = host.config.data_centre == self.data_centres[centre]
             if in_centre and host is not self.leader(centre) and host not in others:
                 return host
-        raise LookupError("every host leads or is excluded")
+        raise LookupError("every host is the leader or excluded")
 
     async def settle(self) -> None:
         """Wait until every data centre has a leader."""
@@ -238,14 +238,14 @@
         await self.clock.sleep(2 * self._timing.suspect_after)
 
     def key(self, name: str, centre: int = 0) -> str:
-        """Return a caller's own key, at home in a data centre."""
+        """Return a key chosen by the caller, whose home is the given data centre."""
         expires = (self.clock.now() + timedelta(hours=2)).replace(microsecond=0)
         return OwnKey(expires, self.data_centres[centre], name).text()
 
     async def submit(
         self, host: EntryHost, key: str | None, request: JobRequest, wait: float = 60
     ) -> Answer:
-        """Submit as the usual caller and wait up to `wait` seconds.
+        """Submit a job as `CALLER` and wait up to `wait` seconds for its answer.
 
         Raise CallerCutOffError if the host's process ends before it answers.
         """
@@ -255,14 +255,14 @@
         )
 
     async def fetch(self, host: EntryHost, key: str, wait: float = 0) -> Answer:
-        """Ask for the answer to a job as the usual caller."""
+        """Fetch the answer to a job as `CALLER`, waiting up to `wait` seconds."""
         timeout = timedelta(seconds=wait)
         return await self._call_host(
             host, lambda: host.jobs.fetch(CALLER, key, timeout)
         )
 
     async def cancel(self, host: EntryHost, key: str) -> Answer:
-        """Cancel a job as the usual caller."""
+        """Cancel a job as `CALLER`."""
         return await self._call_host(host, lambda: host.jobs.cancel(CALLER, key))
 
     async def _call_host(
@@ -289,7 +289,7 @@
         return answers[0]
 
     def starts_of(self, key: str) -> dict[str, int]:
-        """Return how often each task of a job was started."""
+        """Return the number of starts of each task of a job."""
         starts: dict[str, int] = {}
         for minion in self.minions.values():
             for task, count in minion.starts.items():
@@ -308,14 +308,14 @@
 
         async def call(*args: Any) -> Any:
             if not self._system.reaches_platform(self._host):
-                raise StoreUnavailableError(f"{self._host} is cut off")
+                raise StoreUnavailableError(f"{self._host} cannot reach the platform")
             return await method(*args)
 
         return call
 
 
 def leave_job(tasks: int, run_ms: int = 100, **changes: object) -> JobRequest:
-    """Return a leave settlement, which may not be repeated."""
+    """Return a leave settlement job, whose tasks must not be repeated."""
     body = {
         "service": LEAVE,
         "period": "2026-12",
--- a/src/brasstray_standins/minion.py
+++ b/src/brasstray_standins/minion.py
@@ -1,4 +1,4 @@
-"""Stand in for a minion: slots, run times and faults."""
+"""Simulate a minion with slots, run times and faults."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class MinionMode(Enum):
-    """Tell how a stand-in minion behaves."""
+    """Select how a stand-in minion responds to starts."""
 
     WORKING = "working"
     LEAVING = "leaving"
@@ -27,7 +27,7 @@
 
 
 class MinionReply(Enum):
-    """Tell how a start ended."""
+    """Classify the outcome of a start."""
 
     DONE = "done"
     FULL = "full"
@@ -39,14 +39,14 @@
 
 @dataclass(frozen=True)
 class MinionResult:
-    """Hold a reply and, if the task was done, its result."""
+    """Hold the reply to a start and, if the task is done, its result."""
 
     reply: MinionReply
     result: JsonValue = None
 
 
 class StandInMinion:
-    """Run tasks by sleeping, and count every start by task id."""
+    """Run tasks by sleeping, and count the starts of each task id."""
 
     def __init__(self, name: str, clock: Clock, slots: int = 8) -> None:
         self._name = name
@@ -65,16 +65,16 @@
 
     @property
     def starts(self) -> Counter[str]:
-        """Return how often each task was started."""
+        """Return the number of starts of each task."""
         return self._starts
 
     def die(self) -> None:
-        """End everything that runs, without a reply."""
+        """End all running tasks without a reply, and refuse connections."""
         self.mode = MinionMode.DEAD
         self._killed.set()
 
     async def run(self, task: str, payload: JsonValue) -> MinionResult:
-        """Run `task` for as long as its payload's `run_ms` says."""
+        """Run `task` for the `run_ms` of its payload, in milliseconds."""
         match self.mode:
             case MinionMode.DEAD:
                 return MinionResult(MinionReply.UNREACHABLE)
--- a/src/brasstray_standins/minion_app.py
+++ b/src/brasstray_standins/minion_app.py
@@ -18,23 +18,25 @@
 
 
 class MinionApp:
-    """Translate between HTTP and a stand-in minion."""
+    """Handle start requests for one stand-in minion."""
 
     def __init__(self, minion: StandInMinion) -> None:
         self._minion = minion
 
     async def __call__(self, scope: Scope, receive: Receive, send: Send) -> None:
-        """Answer one start."""
+        """Handle one start request."""
         body = await read_body(receive, MAX_BODY_BYTES)
         try:
             request = json.loads(body or b"")
             task, payload = str(request["task"]), request["payload"]
         except (ValueError, KeyError, TypeError):
-            await json_response(400, {"detail": "a task and a payload"}).send(send)
+            await json_response(
+                400, {"detail": "the body must hold a task and a payload"}
+            ).send(send)
             return
         response = await self._run(task, payload)
         if response is None:
-            # The server that is cancelled with the minion cuts the connection.
+            # Cancelling the server along with the minion closes the connection.
             await anyio.sleep_forever()
         else:
             await response.send(send)
--- a/src/brasstray_standins/no_replicas.py
+++ b/src/brasstray_standins/no_replicas.py
@@ -1,4 +1,4 @@
-"""Stand in for the replicas of a data centre with a single host."""
+"""Provide the replica interface of a data centre with a single host."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class NoReplicas:
-    """Have no replica."""
+    """Reject every call, since there is no replica."""
 
     async def hold(
         self, replica: IncarnationId, term: int, copies: dict[int, Record | None]
@@ -29,7 +29,7 @@
         raise ReplicaUnreachableError(replica)
 
     def live(self) -> list[IncarnationId]:
-        """Return nothing."""
+        """Return an empty list."""
         return []
 
 
--- a/src/brasstray_standins/platform_app.py
+++ b/src/brasstray_standins/platform_app.py
@@ -27,10 +27,10 @@
 
 
 class PlatformApp:
-    """Translate between HTTP and the platform in memory.
+    """Serve the in-memory platform, and control it from tests.
 
-    PUT and DELETE of /switches/down fail and mend it; /starts tells how often each
-    task was started.
+    PUT /switches/down makes every call fail until DELETE /switches/down. /starts
+    returns the number of starts of each task.
     """
 
     def __init__(
--- a/src/brasstray_standins/platform_faults.py
+++ b/src/brasstray_standins/platform_faults.py
@@ -1,4 +1,4 @@
-"""Hold the faults that the stand-in platform can show."""
+"""Define the faults that can be injected into the stand-in platform."""
 
 from __future__ import annotations
 
@@ -8,7 +8,13 @@
 
 @dataclass
 class PlatformFaults:
-    """Turn faults of the platform on and off."""
+    """Hold the injected faults of the platform.
+
+    down: every call fails.
+    delay: how long each call takes.
+    lose_replies: how many of the next writes are executed but reported as failed.
+    freeze_list: the host list no longer changes.
+    """
 
     down: bool = False
     delay: timedelta = timedelta(milliseconds=3)
--- a/src/brasstray_standins/pool_system.py
+++ b/src/brasstray_standins/pool_system.py
@@ -1,4 +1,4 @@
-"""Run hosts and leased minions together in memory, on whatever clock there is."""
+"""Run hosts and leased minions together in memory, on a real or virtual clock."""
 
 from __future__ import annotations
 
@@ -58,11 +58,12 @@
 
 @dataclass(frozen=True)
 class PoolSystemSize:
-    """Say how much there is of everything.
+    """Define the numbers, capacities and speeds of hosts and minions.
 
-    The first `strong_each` hosts of each data centre are four times as strong, with
-    links eight times as fast. `link_rate` is how many bytes a second the link of any
-    other host carries each way. The clocks of minions run at `minion_clock_rate`.
+    The first `strong_each` hosts of each data centre have four times the power and
+    links eight times as fast. `link_rate` is the bandwidth of every other host's link
+    in bytes per second each way. The clocks of minions run at `minion_clock_rate`
+    times the true rate.
     """
 
     data_centres: int = 2
@@ -75,7 +76,7 @@
 
 
 class _StoreOperatorSource:
-    """Read a configuration that holds a version only, and evacuations."""
+    """Read evacuations and a configuration of which only the version counts."""
 
     def __init__(self, store: StoreView) -> None:
         self._store = store
@@ -109,7 +110,7 @@
 
 
 def _data_centres_in(names: Iterable[str]) -> frozenset[DataCentreName]:
-    """Return the data centres that the names of entries on evacuations end in."""
+    """Return the data centres named by those of `names` that denote evacuations."""
     found = (name.partition(EVACUATION_PREFIX) for name in names)
     return frozenset(DataCentreName(end) for _, prefix, end in found if prefix)
 
@@ -126,9 +127,10 @@
 
 @dataclass
 class RunningHost:
-    """Hold one process and the switches for its faults.
+    """Hold one host process and the objects that inject its faults.
 
-    `callers` are the scopes of those who wait for it; they break off when it ends.
+    `callers` are the cancel scopes of clients that wait for the host; they are
+    cancelled when the process ends.
     """
 
     host: PoolHost
@@ -140,7 +142,7 @@
     callers: list[anyio.CancelScope] = field(default_factory=list)
 
     def accept(self, stream: MemoryStream) -> None:
-        """Serve a connection that another host opens."""
+        """Serve a stream that another host has opened."""
         scope = anyio.CancelScope()
         self.connections.append(scope)
         self.group.start_soon(self._serve, stream, scope)
@@ -150,14 +152,14 @@
             await self.host.serve(stream)
 
     def terminate(self) -> None:
-        """End the process."""
+        """End the process and cancel its connections and callers."""
         for scope in (self.scope, *self.connections, *self.callers):
             scope.cancel()
         self.gate.release()
 
 
 def usual_queue() -> Queue:
-    """Return the queue that all jobs of a stand-in system come from."""
+    """Return the queue of all jobs in a simulated system."""
     return Queue(
         QueueName("saldo"), "h", "/q/", SERVICE, 0, 3, 1.6, timedelta(milliseconds=60)
     )
@@ -166,13 +168,13 @@
 def usual_batch(
     name: str, width: int = 4, estimate: timedelta = USUAL_DURATION
 ) -> Batch:
-    """Return a job of one step with tasks of the usual kind."""
+    """Return a batch of one step whose tasks have the usual needs."""
     return Batch(BatchId(name), "", (Step(width, USUAL_NEEDS, estimate),))
 
 
 @dataclass
 class PoolSystem:
-    """Start, kill, freeze and cut hosts and minions."""
+    """Start, kill, freeze and partition hosts and minions."""
 
     group: TaskGroup
     metrics: PoolMetrics
@@ -198,7 +200,7 @@
         )
 
     def add_minion(self, name: str, centre: str) -> LeasedMinion:
-        """Start a minion and list it."""
+        """Start a minion and add it to the list of minions."""
         entry = MinionEntry(
             MinionId(name),
             SERVICE,
@@ -216,29 +218,29 @@
         return minion
 
     def set_draining(self, name: MinionId) -> None:
-        """List a minion as draining; it goes on with what it has."""
+        """List a minion as draining; its current runs continue."""
         self.listed = [
             replace(entry, draining=True) if entry.id == name else entry
             for entry in self.listed
         ]
 
     def set_config(self, version: int, size: int = 0) -> None:
-        """Write a configuration of `size` bytes or a few more, as the operator does."""
+        """Write a configuration slightly larger than `size` bytes, as operators do."""
         text = json.dumps({"version": version, "routes": "r" * size})
         self.store.put(CONFIG_KEY, text.encode())
 
     def evacuate(self, centre: str, value: bytes = b"{}") -> timedelta:
-        """Ask as the operator does for no new work in `centre`; return when."""
+        """Evacuate `centre`, as an operator does; return the time of the write."""
         self.store.put(EVACUATION_PREFIX + centre, value)
         return self.clock.monotonic()
 
     def resume(self, centre: str) -> timedelta:
-        """Take that back; return when."""
+        """Revoke the evacuation of `centre`; return the time of the removal."""
         self.store.remove(EVACUATION_PREFIX + centre)
         return self.clock.monotonic()
 
     def starts_in(self, centre: str) -> list[timedelta]:
-        """Return when tasks began in a data centre."""
+        """Return the times at which tasks started in a data centre."""
         noted = self.book.noted
         return [start.at for start in noted if start.minion.data_centre == centre]
 
@@ -299,7 +301,7 @@
             await host.run()
 
     def kill(self, name: str) -> None:
-        """End a process; its connections are reset."""
+        """Kill a process and reset its connections."""
         running = self.hosts.pop(name)
         running.terminate()
         self.network.listening.pop(name, None)
@@ -313,8 +315,8 @@
             if running.host.owner is not None
             and running.host.identity.data_centre == self.centres[centre]
         ]
-        # A host that was cut off may still believe that it owns the pool: the one with
-        # the highest token does.
+        # A partitioned host may still believe that it owns the pool; the true owner has
+        # the highest fencing token.
         return max(names, key=lambda n: self.hosts[n].host.owner.token)  # type: ignore[union-attr]
 
     def other(self, centre: int = 0) -> str:
@@ -328,13 +330,13 @@
         )
 
     async def settle(self) -> None:
-        """Wait until every data centre has an owner that knows its minions."""
+        """Wait until every data centre should have an owner that knows its minions."""
         await self.clock.sleep(timedelta(seconds=1))
 
     async def submit(
         self, name: str, batch: Batch, timeout: timedelta = timedelta(seconds=3)
     ) -> BatchResult:
-        """Return the result of a job submitted to the host called `name`."""
+        """Submit a batch to the host called `name` and return its result."""
         coordinator = self.hosts[name].host.coordinator
         return await coordinator.run(batch, usual_queue(), timeout)
 
--- a/src/brasstray_standins/rate_limited_link.py
+++ b/src/brasstray_standins/rate_limited_link.py
@@ -1,4 +1,4 @@
-"""Carry bytes at a limited rate, fairly between all who send at the same time."""
+"""Simulate a network link whose bandwidth is shared fairly between its senders."""
 
 from __future__ import annotations
 
@@ -8,14 +8,15 @@
 if TYPE_CHECKING:
     from brasstray.clock.clock import Clock
 
-# What one sender puts on the link before the next one's turn: two full packets.
+# How many bytes a sender transmits before the next sender gets the link: two full
+# packets.
 CHUNK_BYTES = 3_000
 
 
 class RateLimitedLink:
-    """Stand in for one direction of a machine's network link.
+    """Simulate one direction of a host's network link.
 
-    `rate` is in bytes a second; None takes no time.
+    `rate` is in bytes per second; None means unlimited.
     """
 
     def __init__(self, clock: Clock, rate: float | None) -> None:
@@ -26,11 +27,11 @@
 
     @property
     def bytes_sent(self) -> int:
-        """Return how many bytes have passed."""
+        """Return the number of transmitted bytes."""
         return self._bytes_sent
 
     async def transmit(self, size: int) -> None:
-        """Return once `size` bytes have passed."""
+        """Return once `size` bytes have been transmitted."""
         self._bytes_sent += size
         if self._rate is None:
             return
