--- a/measure/__init__.py
+++ b/measure/__init__.py
@@ -1,1 +1,1 @@
-"""Measure the decisions of brasstray over stand-ins, on a virtual clock."""
+"""Measure the performance of brasstray against stand-ins and real processes."""
--- a/measure/__main__.py
+++ b/measure/__main__.py
@@ -1,4 +1,4 @@
-"""List the measurements, run one, or fill a page with the tables it asks for."""
+"""List the measurements, run one, or update the result tables of a page."""
 
 from __future__ import annotations
 
@@ -27,9 +27,11 @@
 
 
 def run(
-    name: Annotated[str, typer.Argument(help="A measurement, or: list, fill")],
-    page: Annotated[Path | None, typer.Argument(help="The page to fill.")] = None,
-    seed: Annotated[int, typer.Option(help="Seeds all that is drawn.")] = 1,
+    name: Annotated[str, typer.Argument(help="A measurement, list or fill")],
+    page: Annotated[
+        Path | None, typer.Argument(help="The page whose tables to update.")
+    ] = None,
+    seed: Annotated[int, typer.Option(help="The seed of all random choices.")] = 1,
     json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
     """Run a measurement and print its table."""
@@ -40,7 +42,10 @@
     elif name == "fill" and page is not None:
         page.write_text(fill(page.read_text(), _table))
     elif name not in MEASUREMENTS:
-        typer.echo(f"{name}: not one of {', '.join(MEASUREMENTS)}", err=True)
+        typer.echo(
+            f"unknown measurement {name}, expected one of {', '.join(MEASUREMENTS)}",
+            err=True,
+        )
         raise typer.Exit(2)
     elif json:
         typer.echo(as_json(import_module(f"measure.{name}").run(seed)))
--- a/measure/capacity.py
+++ b/measure/capacity.py
@@ -1,4 +1,4 @@
-"""Measure the slopes from which the page on capacity is worked out."""
+"""Measure how costs grow with load, as the basis of the capacity estimates."""
 
 from __future__ import annotations
 
@@ -42,7 +42,7 @@
 
 @dataclass(frozen=True)
 class SlopeRow:
-    """Hold a line fitted through measured points, and how far they are off it."""
+    """Hold a line fitted to measured points, and the largest deviation from it."""
 
     what: str
     unit: str
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class IdleCost:
-    """Hold what one host spends on control while nothing is asked of it."""
+    """Hold the control traffic and CPU time of one idle host per second."""
 
     messages: float
     kilobytes: float
@@ -74,7 +74,7 @@
         cpu_seconds = time.process_time() - started_at
         host_seconds = hosts * IDLE_SECONDS
         cost = IdleCost(
-            # A call is sent by one host and answered by another.
+            # Each call counts twice: one host sends it and another one handles it.
             messages=2
             * (system.network.calls.total() - messages_before)
             / host_seconds,
@@ -161,7 +161,7 @@
 
 
 def run(seed: int) -> list[SlopeRow]:
-    """Return a row for each slope."""
+    """Return one row for each fitted line."""
 
     def idle(hosts: int, minions: int) -> IdleCost:
         return run_virtual(seed, lambda: _measure_idle(seed, hosts, minions))
--- a/measure/daemon_cpu.py
+++ b/measure/daemon_cpu.py
@@ -1,4 +1,4 @@
-"""Measure the processor time that a real daemon spends on a task, over loopback."""
+"""Measure the CPU time per task of a real daemon over loopback."""
 
 from __future__ import annotations
 
@@ -40,7 +40,7 @@
 
 
 def entry_settings(number: int, callers: int, peers: int, platform: int) -> str:
-    """Return the settings of an entry host, given its number and the ports."""
+    """Return the settings file of the entry host with the given number."""
     return _SETTINGS.format(
         number=number, callers=callers, peers=peers, platform=platform
     )
@@ -48,7 +48,7 @@
 
 @dataclass(frozen=True)
 class CpuRow:
-    """Hold the daemon's cost at one number of connections to minions."""
+    """Hold the daemon's costs at one number of connections to minions."""
 
     connections: int
     tasks: int
@@ -58,7 +58,7 @@
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of process `pid` so far, in seconds."""
+    """Return the CPU time that process `pid` has used, in seconds."""
     fields = Path(f"/proc/{pid}/stat").read_text().rsplit(")", 1)[1].split()
     return (int(fields[11]) + int(fields[12])) / _TICKS_PER_SECOND
 
@@ -83,7 +83,7 @@
 
 
 def post(path: str, body: bytes, key: str) -> dict:
-    """Return the daemon's answer to a job."""
+    """Submit a job to the daemon and return its answer."""
     request = urllib.request.Request(
         f"http://127.0.0.1:{CALLER_PORT}{path}",
         data=body,
@@ -106,11 +106,11 @@
         except OSError:
             pass
         time.sleep(0.2)
-    raise TimeoutError("the daemon did not get ready")
+    raise TimeoutError("the daemon was not ready after 20 s")
 
 
 def measure(connections: int) -> CpuRow:
-    """Return what the daemon spends with `connections` tasks at once."""
+    """Return the daemon's costs with `connections` concurrent tasks."""
     python, daemon = sys.executable, str(Path(sys.executable).parent / "brasstrayd")
     minions = max(1, connections // SLOTS)
     expires = datetime.now(UTC) + timedelta(hours=1)
@@ -147,7 +147,7 @@
 
 
 def run(seed: int) -> list[CpuRow]:
-    """Return a row for each number of connections; `seed` plays no part."""
+    """Return one row for each number of connections; `seed` is not used."""
     del seed
     return [measure(connections) for connections in CONNECTIONS]
 
--- a/measure/days/__init__.py
+++ b/measure/days/__init__.py
@@ -1,1 +1,1 @@
-"""Play days of trouble of the project's own and tabulate which rules they break."""
+"""Run the project's fault scenarios and tabulate the rules that they violate."""
--- a/measure/days/__main__.py
+++ b/measure/days/__main__.py
@@ -1,4 +1,4 @@
-"""Play the days of troubles.toml on a deployment; print a table of days and rules."""
+"""Run the days (fault scenarios) of troubles.toml and print a table of results."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from measure.table import as_json, markdown
 
 CATALOGUE = Path(__file__).parent / "troubles.toml"
-# Long enough for a trouble at 6 s, its end, and a quiet time after it that shows
-# whether service comes back.
+# Long enough for a fault at 6 s, its end, and a fault-free period that shows whether
+# service recovers.
 DURATION_S = 22.0
-# A window with fewer requests tells nothing: one of them would make the minimum.
+# In a window with fewer requests, a single one would determine the minimum.
 MIN_REQUESTS = 20
 
 
 @dataclass(frozen=True)
 class DayResult:
-    """Hold what a day showed; `rules` names the rules that it broke, or is empty."""
+    """Hold the results of a day; `rules` lists the rules that it violated."""
 
     day: str
     rules: str
@@ -38,13 +38,13 @@
 
 
 def read_days(only: str) -> list[dict[str, Any]]:
-    """Return the days of the catalogue whose name contains `only`."""
+    """Return the days of the catalogue whose names contain `only`."""
     days = tomllib.loads(CATALOGUE.read_text())["day"]
     return [day for day in days if only in day["name"]]
 
 
 def run_day(bench: Path, site: Path, day: dict[str, Any], seed: int) -> DayResult:
-    """Play one day by the program `bench` and return what it showed."""
+    """Run one day with the program `bench` and return its results."""
     with tempfile.TemporaryDirectory() as folder:
         text = Path(folder) / f"{day['name']}.toml"
         report = Path(folder) / "report.json"
@@ -54,8 +54,8 @@
         done = subprocess.run([*command, "--why", why], capture_output=True, text=True)
         if not report.exists():
             lines = (done.stderr or done.stdout).strip().splitlines()
-            reason = lines[-1] if lines else f"status {done.returncode}"
-            return DayResult(day["name"], f"not played: {reason}", *(0.0,) * 6)
+            reason = lines[-1] if lines else f"exit status {done.returncode}"
+            return DayResult(day["name"], f"not run: {reason}", *(0.0,) * 6)
         return _day_result(day["name"], json.loads(report.read_text()))
 
 
@@ -95,14 +95,20 @@
 
 
 def main(
-    bench: Annotated[Path, typer.Argument(help="The program that plays days.")],
-    site: Annotated[Path, typer.Argument(help="The deployment's file.")],
-    only: Annotated[str, typer.Option(help="Play days whose name has this.")] = "",
-    jobs: Annotated[int, typer.Option(help="How many days at a time.")] = 4,
-    seed: Annotated[int, typer.Option(help="Added to each day's seed.")] = 0,
+    bench: Annotated[Path, typer.Argument(help="The program that runs days.")],
+    site: Annotated[
+        Path, typer.Argument(help="The file that describes the deployment.")
+    ],
+    only: Annotated[
+        str, typer.Option(help="Run only days whose names contain this.")
+    ] = "",
+    jobs: Annotated[int, typer.Option(help="The number of days to run at once.")] = 4,
+    seed: Annotated[
+        int, typer.Option(help="A number to add to the seed of each day.")
+    ] = 0,
     json_: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
-    """Play every day on `site`; end with status 1 if one broke a rule."""
+    """Run the days on `site`; exit with status 1 if one violated a rule."""
     days = read_days(only)
     with ThreadPoolExecutor(jobs) as pool:
         rows = list(pool.map(lambda day: run_day(bench, site, day, seed), days))
--- a/measure/faults.py
+++ b/measure/faults.py
@@ -1,4 +1,4 @@
-"""Compare the policies while minions, hosts or the platform fail."""
+"""Compare the dispatch policies while minions, hosts or the platform fail."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True)
 class FaultRow:
-    """Hold one policy's figures under one fault."""
+    """Hold the results of one policy under one fault."""
 
     fault: str
     policy: str
@@ -42,28 +42,28 @@
 
 
 async def no_fault(system: MemorySystem) -> None:
-    """Let everything be."""
+    """Inject no fault."""
 
 
 async def failing_minion(system: MemorySystem) -> None:
-    """One minion fails all that it is sent."""
+    """Let one minion fail every task that it receives."""
     await system.clock.sleep(FAULT_AT)
     system.minions["dc-0-minion-0"].mode = MinionMode.FAILING
 
 
 async def dead_minion(system: MemorySystem) -> None:
-    """One minion dies with what it runs."""
+    """Kill one minion and the tasks that it runs."""
     await system.clock.sleep(FAULT_AT)
     system.minions["dc-0-minion-0"].die()
 
 
 async def slow_minion(system: MemorySystem) -> None:
-    """One minion of eight is ten times slow."""
+    """Make one minion of eight ten times slower."""
     system.minions["dc-0-minion-0"].slowness = 10.0
 
 
 async def killed_host(system: MemorySystem) -> None:
-    """A third of the entry hosts is killed and comes back after a second."""
+    """Kill one of three entry hosts, and restart it after a second."""
     await system.clock.sleep(FAULT_AT)
     name = system.bystander().config.host
     system.kill(name)
@@ -72,7 +72,7 @@
 
 
 async def drained_host(system: MemorySystem) -> None:
-    """A third of the entry hosts leaves gracefully and comes back."""
+    """Drain one of three entry hosts, and restart it."""
     await system.clock.sleep(FAULT_AT)
     host = system.bystander()
     await host.drain()
@@ -81,7 +81,7 @@
 
 
 async def cancel_all_jobs(system: MemorySystem) -> None:
-    """Every job that runs is cancelled at once, at another host."""
+    """Cancel all running jobs at the same time, through other hosts."""
     await system.clock.sleep(FAULT_AT)
     async with anyio.create_task_group() as group:
         for host in system.hosts.values():
@@ -97,7 +97,7 @@
 
 
 async def platform_down(system: MemorySystem) -> None:
-    """The platform is down for three seconds."""
+    """Make the platform unavailable for three seconds."""
     await system.clock.sleep(FAULT_AT)
     system.platform.switches.down = True
     await system.clock.sleep(timedelta(seconds=3))
@@ -133,7 +133,7 @@
 
 
 def run(seed: int) -> list[FaultRow]:
-    """Return a row for each fault and policy, on the same stream of jobs."""
+    """Return one row for each fault and policy, all on the same stream of jobs."""
     cases = [
         (VAKANTIEHUIS, fault, policy, seed)
         for fault in FAULTS
--- a/measure/ideal.py
+++ b/measure/ideal.py
@@ -1,4 +1,4 @@
-"""Work out the ideal: one omniscient queue over all slots, without any delay."""
+"""Compute ideal response times: one queue for all slots, without any delay."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 def ideal_responses(jobs: list[DrawnJob], slots: int) -> dict[int, float]:
     """Return each job's response time in seconds.
 
-    Whenever a slot is free, the waiting job with the least work left gets it, and
-    sends its longest task first; all run times are known.
+    All run times are known in advance. Each free slot goes to the waiting job with the
+    least remaining work, which starts its longest task first.
     """
     arrivals = sorted(jobs, key=lambda job: job.arrives)
     waiting: list[tuple[float, int, list[int]]] = []
--- a/measure/idle_cpu.py
+++ b/measure/idle_cpu.py
@@ -1,4 +1,4 @@
-"""Measure what real daemons of one data centre spend while nothing is asked of them."""
+"""Measure the CPU time and memory of idle daemons in one data centre."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 
 @dataclass(frozen=True)
 class IdleRow:
-    """Hold the mean and the most that a daemon spent."""
+    """Hold the mean and maximum CPU share of a daemon, and the maximum memory."""
 
     daemons: int
     mean_cpu_percent: float
@@ -29,7 +29,7 @@
 
 
 def measure(hosts: int) -> IdleRow:
-    """Return what each of `hosts` daemons spends."""
+    """Return the costs of `hosts` idle daemons."""
     python, daemon = sys.executable, str(Path(sys.executable).parent / "brasstrayd")
     with tempfile.TemporaryDirectory() as folder, ExitStack() as stack:
         entries = [
@@ -52,7 +52,9 @@
         before = [cpu_seconds(pid) for pid in pids]
         time.sleep(SECONDS)
         if any(process.poll() is not None for process in daemons):
-            raise RuntimeError("a daemon has ended; are its ports taken?")
+            raise RuntimeError(
+                "a daemon has exited, possibly because its ports are in use"
+            )
         used = [cpu_seconds(p) - b for p, b in zip(pids, before, strict=True)]
         return IdleRow(
             hosts,
@@ -63,7 +65,7 @@
 
 
 def run(seed: int) -> list[IdleRow]:
-    """Return a row for each number of daemons; `seed` plays no part."""
+    """Return one row for each number of daemons; `seed` is not used."""
     del seed
     return [measure(hosts) for hosts in HOST_COUNTS]
 
--- a/measure/journal.py
+++ b/measure/journal.py
@@ -1,4 +1,4 @@
-"""Measure what the journal costs a job, and what copies on replicas are worth."""
+"""Measure the journal's overhead per job, and the benefit of its replicas."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 
 @dataclass(frozen=True)
 class JournalRow:
-    """Hold what one way of submitting cost."""
+    """Hold the costs of one way of submitting jobs."""
 
     case: str
     jobs_per_second: int
@@ -116,7 +116,7 @@
 
 
 def run(seed: int) -> list[JournalRow]:
-    """Return a row for each way of submitting and each rate."""
+    """Return one row for each way of submitting, rate and loss of a leader."""
     rows = []
     for rate in (1, 10, 50, 200):
         for name, minted, down in (
--- a/measure/log_cost.py
+++ b/measure/log_cost.py
@@ -1,4 +1,4 @@
-"""Measure what a log line and a scrape of the metrics cost a host's processor."""
+"""Measure the CPU time of a log line and of a scrape of the metrics."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 @dataclass(frozen=True)
 class CostRow:
-    """Hold what one of something takes."""
+    """Hold the CPU time and size of one log line or scrape."""
 
     what: str
     processor_us: float
@@ -36,7 +36,7 @@
 
 
 def run(seed: int) -> list[CostRow]:
-    """Return the costs; nothing is drawn, so `seed` changes nothing."""
+    """Return one row for each cost; `seed` is not used."""
     del seed
     return [_written_lines(), _dropped_lines(), _scrape()]
 
--- a/measure/pages.py
+++ b/measure/pages.py
@@ -1,4 +1,4 @@
-"""Put measured tables into pages, in place of those between markers."""
+"""Replace the tables between markers in a page by new measurements."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def fill(page: str, table: Callable[[str, int], str]) -> str:
-    """Return `page` with the table of each marked measurement made anew."""
+    """Return `page` with the table of each marked measurement replaced."""
 
     def replace(block: re.Match[str]) -> str:
         new_table = table(block["name"], int(block["seed"]))
--- a/measure/routing.py
+++ b/measure/routing.py
@@ -1,4 +1,4 @@
-"""Compare ways to choose slots and to order jobs, at both users' sizes."""
+"""Compare policies for choosing slots and ordering jobs at two users' sizes."""
 
 from __future__ import annotations
 
@@ -34,7 +34,7 @@
 
 @dataclass(frozen=True)
 class RoutingRow:
-    """Hold one policy's figures at one site and load."""
+    """Hold the results of one policy at one site and load."""
 
     site: str
     load: str
@@ -49,7 +49,7 @@
 
 
 def row(site: Site, load: str, policy: str, trial: Trial) -> RoutingRow:
-    """Return the figures of `trial`."""
+    """Run `trial` and return its results."""
     result = trial.run()
     return RoutingRow(
         site.name,
@@ -66,7 +66,7 @@
 
 
 def run(seed: int) -> list[RoutingRow]:
-    """Return a row for each site, load and policy, on the same streams."""
+    """Return one row for each site, load and policy, on the same streams of jobs."""
     cases = []
     for site in (VAKANTIEHUIS, LE_GOFF):
         for load in (0.5, 0.8, 0.95, BURST_BASE_LOAD):
--- a/measure/table.py
+++ b/measure/table.py
@@ -1,4 +1,4 @@
-"""Print results as a table, or as JSON for programs."""
+"""Format results as a Markdown table or as JSON."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 
 def markdown(rows: list[Any]) -> str:
-    """Return data-class rows as a table in Markdown."""
+    """Return dataclass instances as a Markdown table."""
     records = [asdict(row) for row in rows]
     names = list(records[0])
     lines = [
@@ -20,7 +20,7 @@
 
 
 def as_json(rows: list[Any]) -> str:
-    """Return data-class rows as JSON."""
+    """Return dataclass instances as a JSON array."""
     return json.dumps([asdict(row) for row in rows])
 
 
--- a/measure/trial.py
+++ b/measure/trial.py
@@ -1,4 +1,4 @@
-"""Run one stream of jobs through real entry hosts over stand-ins."""
+"""Run one stream of jobs through real entry hosts and simulated minions."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True)
 class TrialResult:
-    """Hold what one policy did with one stream."""
+    """Hold the results of one policy on one stream of jobs."""
 
     p50_over_ideal: float
     p99_over_ideal: float
@@ -46,7 +46,7 @@
 
 @dataclass(frozen=True)
 class Trial:
-    """Hold a stream of jobs and how it is to be served."""
+    """Hold a stream of jobs, the policies to serve it, and a fault to inject."""
 
     site: Site
     jobs: list[DrawnJob]
@@ -56,7 +56,7 @@
     inject_fault: Callable[[MemorySystem], Awaitable[None]] | None = None
 
     def run(self) -> TrialResult:
-        """Return what came of it."""
+        """Run the jobs on a virtual clock and return the results."""
         return run_virtual(self.seed, self._run_jobs)
 
     async def _run_jobs(self) -> TrialResult:
--- a/measure/virtual.py
+++ b/measure/virtual.py
@@ -1,4 +1,4 @@
-"""Run a measurement on a virtual clock, the same for the same seed."""
+"""Run measurements on a virtual clock, reproducibly for each seed."""
 
 from __future__ import annotations
 
@@ -15,9 +15,10 @@
 
 
 def run_virtual(seed: int, run: Callable[[], Awaitable[_T]]) -> _T:
-    """Return what `run` returns, on a clock that jumps whenever all tasks sleep.
+    """Return the result of `run` on a clock that advances whenever all tasks sleep.
 
-    trio shuffles tasks that can run at once; its own tests seed the shuffle this way.
+    trio shuffles the tasks that are ready to run. Its own tests seed the shuffle by
+    the same private names.
     """
     trio._core._run._ALLOW_DETERMINISTIC_SCHEDULING = True
     trio._core._run._r.seed(seed)
--- a/measure/workload.py
+++ b/measure/workload.py
@@ -1,4 +1,4 @@
-"""Draw streams of jobs like the users' own."""
+"""Generate random streams of jobs that resemble the users' workloads."""
 
 from __future__ import annotations
 
@@ -16,7 +16,11 @@
 
 @dataclass(frozen=True)
 class Site:
-    """Hold the size of a user's data centre and how its tasks run."""
+    """Hold the size of a user's data centre and the run times of its tasks.
+
+    The run times have a log-normal distribution: `mean_log_ms` and `sigma` are the mean
+    and the standard deviation of the logarithm of the milliseconds.
+    """
 
     name: str
     hosts: int
@@ -27,18 +31,18 @@
 
     @property
     def total_slots(self) -> int:
-        """Return how many tasks can run at once."""
+        """Return the number of tasks that can run at once."""
         return self.minions * self.slots
 
 
-# A third of each user's 8 entry hosts and 25 minions: one data centre.
+# One data centre: a third of each user's 8 entry hosts and 25 minions.
 VAKANTIEHUIS = Site("vakantiehuis", 3, 8, 8, 5.2, 0.6)
 LE_GOFF = Site("le goff", 3, 8, 8, 5.6, 0.8)
 
 
 @dataclass(frozen=True)
 class DrawnJob:
-    """Hold a job's arrival in seconds and its tasks' run times."""
+    """Hold a job's arrival time in seconds and its tasks' run times."""
 
     number: int
     arrives: float
@@ -46,7 +50,7 @@
 
 
 def draw_run_ms(site: Site, random: Random) -> int:
-    """Return a task's run time."""
+    """Return a random run time of a task in milliseconds."""
     drawn = random.lognormvariate(site.mean_log_ms, site.sigma)
     return int(min(MAX_RUN_MS, max(MIN_RUN_MS, drawn)))
 
@@ -58,9 +62,10 @@
     random: Random,
     burst: tuple[float, float, float] | None = None,
 ) -> list[DrawnJob]:
-    """Return jobs whose tasks fill the share `load` of the slots.
+    """Return random jobs whose tasks occupy the share `load` of the slots.
 
-    `burst` is its begin, its end and by how much it multiplies the rate of arrivals.
+    `burst` holds the start and end of a burst in seconds, and the factor by which it
+    multiplies the arrival rate.
     """
     sample = [draw_run_ms(site, random) for _ in range(20_000)]
     mean_tasks = sum(
