--- a/src/brasstray_standins/leased_minions.py
+++ b/src/brasstray_standins/leased_minions.py
@@ -61,7 +61,7 @@
         self.lateness = timedelta(seconds=3)
         self.effort = timedelta(0)
         self.chaos = CallChaos(Random(0), delayed_share=0.0, unanswered_share=0.0)
-        self._processor = anyio.Lock()
+        self._cpu_lock = anyio.Lock()
         self._places = places
         self._clock = clock
         self._group = group
@@ -174,7 +174,7 @@
             await self._delay_call(minion, operation, timeout, delay)
         with anyio.move_on_after(timeout.total_seconds()):
             if self.effort:
-                async with self._processor:
+                async with self._cpu_lock:
                     await self._clock.sleep(self.effort)
             await self._clock.sleep(ONE_WAY_DELAY)
             place = self._places[minion.id]
--- a/src/brasstray_standins/memory_platform.py
+++ b/src/brasstray_standins/memory_platform.py
@@ -151,7 +151,7 @@
     async def hosts(self) -> list[ListedHost]:
         """Return the host list, or the last one read before it was frozen."""
         await self._begin_call()
-        if not self._switches.freeze_list:
+        if not self._switches.freeze_host_list:
             self._visible_hosts = list(self._hosts)
         return list(self._visible_hosts)
 
--- a/src/brasstray_standins/memory_streams.py
+++ b/src/brasstray_standins/memory_streams.py
@@ -41,15 +41,15 @@
         self._clock = clock
         self._rate = rate
         self._links: dict[tuple[str, bool], RateLimitedLink] = {}
-        self.listening: dict[str, PoolHost] = {}
-        self.groups: dict[str, int] = {}
+        self.listeners: dict[str, PoolHost] = {}
+        self.partitions: dict[str, int] = {}
         self.streams: list[MemoryStream] = []
         self.opening = ONE_WAY_DELAY
         self.sent = 0
 
-    def cut(self, groups: dict[str, int]) -> None:
-        """Partition the network: only hosts with equal numbers in `groups` connect."""
-        self.groups = groups
+    def cut(self, partitions: dict[str, int]) -> None:
+        """Partition the network: only hosts with equal numbers can connect."""
+        self.partitions = partitions
         for stream in self.streams:
             if not self.connected(stream.here, stream.there):
                 stream.silent = True
@@ -70,7 +70,7 @@
 
     def connected(self, first: str, second: str) -> bool:
         """Return whether two hosts are in the same partition."""
-        return self.groups.get(first, 0) == self.groups.get(second, 0)
+        return self.partitions.get(first, 0) == self.partitions.get(second, 0)
 
     def reset(self, host: str) -> None:
         """Close every stream of `host`, as happens when its process ends."""
@@ -154,7 +154,7 @@
         del port
         await self._gate.wait()
         await self._clock.sleep(self._network.opening)
-        host = self._network.listening.get(address)
+        host = self._network.listeners.get(address)
         if not self._network.connected(self._here, address):
             await self._clock.sleep(OPEN_TIMEOUT)
             raise StreamClosedError("the connection timed out")
--- a/src/brasstray_standins/platform_faults.py
+++ b/src/brasstray_standins/platform_faults.py
@@ -13,13 +13,13 @@
     down: every call fails.
     delay: how long each call takes.
     lose_replies: how many of the next writes are executed but reported as failed.
-    freeze_list: the host list no longer changes.
+    freeze_host_list: the host list no longer changes.
     """
 
     down: bool = False
     delay: timedelta = timedelta(milliseconds=3)
     lose_replies: int = 0
-    freeze_list: bool = False
+    freeze_host_list: bool = False
 
 
 __all__ = ["PlatformFaults"]
--- a/src/brasstray_standins/pool_system.py
+++ b/src/brasstray_standins/pool_system.py
@@ -280,7 +280,7 @@
         scope = anyio.CancelScope()
         running = RunningHost(host, calls, gate, scope, self.group)
         self.hosts[name] = running
-        self.network.listening[name] = running  # type: ignore[assignment]
+        self.network.listeners[name] = running  # type: ignore[assignment]
         self.group.start_soon(self._run, host, scope)
         return running
 
@@ -304,7 +304,7 @@
         """Kill a process and reset its connections."""
         running = self.hosts.pop(name)
         running.terminate()
-        self.network.listening.pop(name, None)
+        self.network.listeners.pop(name, None)
         self.network.reset(name)
 
     def owner(self, centre: int = 0) -> str:
