--- a/measure/__main__.py
+++ b/measure/__main__.py
@@ -1,4 +1,4 @@
-"""List the measurements, run one, or fill a page with the tables it asks for."""
+"""List the measurements, run one, or update the result tables of a page."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 from measure.pages import fill
 from measure.table import as_json, markdown
 
-NAMES = (
+MEASUREMENTS = (
     "journal",
     "routing",
     "faults",
@@ -27,20 +27,25 @@
 
 
 def run(
-    name: Annotated[str, typer.Argument(help="A measurement, or: list, fill")],
-    page: Annotated[Path | None, typer.Argument(help="The page to fill.")] = None,
-    seed: Annotated[int, typer.Option(help="Seeds all that is drawn.")] = 1,
+    name: Annotated[str, typer.Argument(help="A measurement, list or fill")],
+    page: Annotated[
+        Path | None, typer.Argument(help="The page whose tables to update.")
+    ] = None,
+    seed: Annotated[int, typer.Option(help="The seed of all random choices.")] = 1,
     json: Annotated[bool, typer.Option("--json", help="Print JSON.")] = False,
 ) -> None:
     """Run a measurement and print its table."""
     if name == "list":
-        for known in NAMES:
-            doc = import_module(f"measure.{known}").__doc__ or ""
-            typer.echo(f"{known}: {doc.splitlines()[0]}")
+        for measurement in MEASUREMENTS:
+            doc = import_module(f"measure.{measurement}").__doc__ or ""
+            typer.echo(f"{measurement}: {doc.splitlines()[0]}")
     elif name == "fill" and page is not None:
         page.write_text(fill(page.read_text(), _table))
-    elif name not in NAMES:
-        typer.echo(f"{name}: not one of {', '.join(NAMES)}", err=True)
+    elif name not in MEASUREMENTS:
+        typer.echo(
+            f"unknown measurement {name}, expected one of {', '.join(MEASUREMENTS)}",
+            err=True,
+        )
         raise typer.Exit(2)
     elif json:
         typer.echo(as_json(import_module(f"measure.{name}").run(seed)))
--- a/measure/log_cost.py
+++ b/measure/log_cost.py
@@ -1,4 +1,4 @@
-"""Measure what a log line and a scrape of the metrics cost a host's processor."""
+"""Measure the CPU time of a log line and of a scrape of the metrics."""
 
 from __future__ import annotations
 
@@ -27,16 +27,16 @@
 
 
 @dataclass(frozen=True)
-class Cost:
-    """Hold what one of something takes."""
+class CostRow:
+    """Hold the CPU time and size of one log line or scrape."""
 
     what: str
     processor_us: float
     bytes_each: float
 
 
-def run(seed: int) -> list[Cost]:
-    """Return the costs; nothing is drawn, so `seed` changes nothing."""
+def run(seed: int) -> list[CostRow]:
+    """Return one row for each cost; `seed` is not used."""
     del seed
     return [_written_lines(), _dropped_lines(), _scrape()]
 
@@ -56,7 +56,7 @@
     )
 
 
-def _written_lines() -> Cost:
+def _written_lines() -> CostRow:
     readable, writable = os.pipe()
     os.set_blocking(readable, False)
     output = BoundedOutput(writable, LoopClock())
@@ -70,29 +70,31 @@
         written += len(os.read(readable, 1 << 20))
 
     count = MOST_LINES_A_SECOND // ROUNDS * ROUNDS
-    took = _with_output(output, lambda: [lines() for _ in range(ROUNDS)])
+    cpu_us = _cpu_us_with_output(output, lambda: [lines() for _ in range(ROUNDS)])
     os.close(readable)
     os.close(writable)
-    return Cost("log line, written", took / count, written / count)
+    return CostRow("log line, written", cpu_us / count, written / count)
 
 
-def _dropped_lines() -> Cost:
+def _dropped_lines() -> CostRow:
     output = BoundedOutput(os.open(os.devnull, os.O_WRONLY), LoopClock())
     for number in range(MOST_LINES):
         output({"number": number})
-    took = _with_output(output, lambda: [_log_answer(n) for n in range(MOST_LINES)])
-    return Cost("log line, dropped", took / MOST_LINES, 0.0)
+    cpu_us = _cpu_us_with_output(
+        output, lambda: [_log_answer(n) for n in range(MOST_LINES)]
+    )
+    return CostRow("log line, dropped", cpu_us / MOST_LINES, 0.0)
 
 
-def _with_output(output: BoundedOutput, work: Callable[[], object]) -> float:
+def _cpu_us_with_output(output: BoundedOutput, work: Callable[[], object]) -> float:
     add_destinations(output)
     try:
-        return _processor_us(work)
+        return _cpu_us(work)
     finally:
         remove_destination(output)
 
 
-def _scrape() -> Cost:
+def _scrape() -> CostRow:
     reader = InMemoryMetricReader()
     metrics = PoolMetrics(MeterProvider([reader]).get_meter("measure"))
     result = BatchResult(BatchOutcome.SUCCEEDED)
@@ -106,13 +108,13 @@
         for _ in range(SCRAPES):
             prometheus_text(reader.get_metrics_data())
 
-    return Cost("scrape of the metrics", _processor_us(scrapes) / SCRAPES, float(size))
+    return CostRow("scrape of the metrics", _cpu_us(scrapes) / SCRAPES, float(size))
 
 
-def _processor_us(work: Callable[[], object]) -> float:
-    began = time.process_time()
+def _cpu_us(work: Callable[[], object]) -> float:
+    started_at = time.process_time()
     work()
-    return (time.process_time() - began) * 1e6
+    return (time.process_time() - started_at) * 1e6
 
 
-__all__ = ["Cost", "run"]
+__all__ = ["CostRow", "run"]
--- a/src/brasstray_standins/call_chaos.py
+++ b/src/brasstray_standins/call_chaos.py
@@ -1,4 +1,4 @@
-"""Draw at random what becomes of calls to minions."""
+"""Choose at random which calls to minions are delayed or lose their response."""
 
 from __future__ import annotations
 
@@ -11,11 +11,11 @@
     from random import Random
 
 
-class CallFate(Enum):
-    """Tell what becomes of a call.
+class CallOutcome(Enum):
+    """Classify what happens to a call.
 
-    UNANSWERED: it is carried out and its response lost. LATE: it is carried out later,
-    and has no response.
+    An UNANSWERED call is executed and its response is lost. A LATE call is executed
+    after a delay, and has no response either.
     """
 
     ANSWERED = "answered"
@@ -25,25 +25,25 @@
 
 @dataclass
 class CallChaos:
-    """Hold back a share of all calls for up to `longest`, and lose other responses."""
+    """Delay a share of all calls by up to `max_delay`, and lose other responses."""
 
     random: Random
-    late: float
-    unanswered: float
-    longest: timedelta = timedelta(seconds=6)
+    delayed_share: float
+    unanswered_share: float
+    max_delay: timedelta = timedelta(seconds=6)
 
-    def draw(self) -> CallFate:
-        """Return the fate of one call."""
-        drawn = self.random.random()
-        if drawn < self.late:
-            return CallFate.LATE
-        if drawn < self.late + self.unanswered:
-            return CallFate.UNANSWERED
-        return CallFate.ANSWERED
+    def draw(self) -> CallOutcome:
+        """Return the outcome of one call."""
+        sample = self.random.random()
+        if sample < self.delayed_share:
+            return CallOutcome.LATE
+        if sample < self.delayed_share + self.unanswered_share:
+            return CallOutcome.UNANSWERED
+        return CallOutcome.ANSWERED
 
-    def draw_lateness(self) -> timedelta:
-        """Return how long a late call is held back."""
-        return self.random.random() * self.longest
+    def draw_delay(self) -> timedelta:
+        """Return the delay of a late call."""
+        return self.random.random() * self.max_delay
 
 
-__all__ = ["CallChaos", "CallFate"]
+__all__ = ["CallChaos", "CallOutcome"]
--- a/src/brasstray_standins/demo.py
+++ b/src/brasstray_standins/demo.py
@@ -1,4 +1,4 @@
-"""Show a whole system on loopback while parts of it fail."""
+"""Run demonstration jobs on a loopback system while parts of it fail."""
 
 from __future__ import annotations
 
@@ -35,14 +35,14 @@
     from brasstray.job.answer import Answer
 
 CALLER = CallerName("filiaal-07")
-PATIENCE = timedelta(seconds=18)
+ANSWER_TIMEOUT = timedelta(seconds=18)
 KEY_LIFETIME = timedelta(hours=1)
 _MILLISECOND = timedelta(milliseconds=1)
 
 
 @dataclass
 class DemoJob:
-    """Hold a job of the demonstration and all that was heard of it."""
+    """Hold a job of the demonstration and the answers that its caller received."""
 
     name: str
     file: str
@@ -54,11 +54,11 @@
 
     @property
     def request(self) -> JobRequest:
-        """Return the job's request."""
+        """Return the request that `body` encodes."""
         return JobRequest.model_validate_json(self.body)
 
 
-def _demo_jobs(examples: Path) -> list[DemoJob]:
+def _load_jobs(examples: Path) -> list[DemoJob]:
     jobs = [
         DemoJob("leave settlement", "leave-settlement", "utrecht-b"),
         DemoJob("audit draw", "audit-draw", "utrecht-b"),
@@ -75,12 +75,12 @@
 
 
 async def run_demo(seed: int, examples: Path) -> DemoReport:
-    """Return what happened to the jobs while hosts and minions failed.
+    """Run the jobs while hosts and minions fail, and return the report.
 
     Raise OSError if the job files are not in `examples`.
     """
     report = DemoReport()
-    jobs = _demo_jobs(examples)
+    jobs = _load_jobs(examples)
     async with anyio.create_task_group() as group:
         system = LoopbackSystem(group, seed)
         system.start()
@@ -90,23 +90,23 @@
         async with anyio.create_task_group() as callers:
             for job in jobs:
                 callers.start_soon(_call, client, job)
-            await _break_things(system, client, jobs, callers, report)
-        _judge(system, jobs, report)
+            await _inject_faults(system, client, jobs, callers, report)
+        _add_job_reports(system, jobs, report)
         report.counts = system.metrics.totals()
-        report.counts["balancer repeats"] = {"": system.balancer.repeats}
+        report.counts["balancer repeats"] = {"": system.balancer.retries}
         group.cancel_scope.cancel()
     return report
 
 
 async def _call(client: Client, job: DemoJob) -> None:
-    begun = anyio.current_time()
-    answer = await client.submit_until_final(job.body, job.key, PATIENCE)
+    started_at = anyio.current_time()
+    answer = await client.submit_until_final(job.body, job.key, ANSWER_TIMEOUT)
     if not job.answers:
-        job.response = timedelta(seconds=anyio.current_time() - begun)
+        job.response = timedelta(seconds=anyio.current_time() - started_at)
     job.answers.append(answer)
 
 
-async def _break_things(
+async def _inject_faults(
     system: LoopbackSystem,
     client: Client,
     jobs: list[DemoJob],
@@ -117,10 +117,10 @@
     minion = DATA_CENTRES.index("amersfoort")
     system.kill_minion(minion)
     report.events.append(f"killed {system.minions[minion].name} in amersfoort")
-    executor = _executor_of(system, jobs[-1].key)
+    executor = _find_executor(system, jobs[-1].key)
     if executor is not None:
         system.kill_daemon(executor)
-        report.events.append(f"killed {executor}, which ran: {jobs[-1].name}")
+        report.events.append(f"killed {executor}, which was running: {jobs[-1].name}")
     for job in (jobs[0], jobs[1], jobs[2]):
         callers.start_soon(_call, client, job)
     report.events.append("resubmitted three jobs with the same keys")
@@ -129,7 +129,7 @@
     report.events.append("resubmitted an answered job with the same key")
 
 
-def _executor_of(system: LoopbackSystem, key: KeyText) -> str | None:
+def _find_executor(system: LoopbackSystem, key: KeyText) -> str | None:
     job = JobId(caller=CALLER, key=key)
     for name, running in system.daemons.items():
         host = running.daemon.host
@@ -138,7 +138,9 @@
     return None
 
 
-def _judge(system: LoopbackSystem, jobs: list[DemoJob], report: DemoReport) -> None:
+def _add_job_reports(
+    system: LoopbackSystem, jobs: list[DemoJob], report: DemoReport
+) -> None:
     for job in jobs:
         starts = system.starts(job.key)
         answer = job.answers[0]
@@ -180,19 +182,21 @@
     if first.outcome is Outcome.COMPLETE and not (
         len(done) == len(request.tasks) and all(done)
     ):
-        broken.append(f"{job.name}: a partial answer told as complete")
+        broken.append(f"{job.name}: a partial answer was reported as complete")
     for index, task in enumerate(first.tasks):
         count = starts.get(f"{CALLER}/{job.key}/{index}", 0)
         if task.state is TaskState.NOT_RUN and count > 0:
-            broken.append(f"{job.name}: task {index} ran but was told as not run")
+            broken.append(f"{job.name}: task {index} ran but was reported as not run")
         if task.state is TaskState.DONE and count == 0:
-            broken.append(f"{job.name}: task {index} was told as done but never ran")
+            broken.append(
+                f"{job.name}: task {index} was reported as done but never ran"
+            )
     return broken
 
 
 def render(report: DemoReport) -> str:
-    """Return the report for people."""
-    lines = ["What was done to the system:"]
+    """Return the report as human-readable text."""
+    lines = ["Faults and resubmissions:"]
     lines += [f"  {event}" for event in report.events]
     lines.append("Jobs:")
     for job in report.jobs:
@@ -202,8 +206,8 @@
             f"  {job.name}: {job.outcome}{reason}",
             f"    tasks: {states}; most starts of a task: {job.most_starts}; "
             f"resubmitted {job.resubmissions} times",
-            f"    response {job.response_ms} ms; ideal, alone on its data centre's "
-            f"slots: {job.ideal_ms} ms",
+            f"    response {job.response_ms} ms; ideal, with its data centre's slots "
+            f"to itself: {job.ideal_ms} ms",
         ]
     lines.append("Counts:")
     for counter, counts in sorted(report.counts.items()):
--- a/src/brasstray_standins/leased_minion.py
+++ b/src/brasstray_standins/leased_minion.py
@@ -1,4 +1,4 @@
-"""Stand in for a minion that runs tasks under leases and fencing tokens."""
+"""Simulate a minion that runs tasks under leases and fencing tokens."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
     from brasstray.pool.minion_entry import MinionEntry
 
 _MILLISECOND = timedelta(milliseconds=1)
-LONGEST_LEASE = timedelta(seconds=1)
-STOP_TIME = timedelta(milliseconds=50)
+MAX_LEASE = timedelta(seconds=1)
+STOP_DURATION = timedelta(milliseconds=50)
 
 
 @dataclass
-class StandInRun:
-    """Hold a run, the work it has left at `checked`, and how it will end."""
+class SimulatedRun:
+    """Hold a run, the work it has left at `updated_at`, and how it will end."""
 
     task: TaskName
     run: RunNumber
     needs: Resources
     work: timedelta
     left: timedelta
-    checked: timedelta
+    updated_at: timedelta
     fails: bool
     stopped_at: timedelta | None = None
 
 
 @dataclass(frozen=True)
 class Work:
-    """Say what a task needs and how long it takes."""
+    """Describe the resources that a task needs and how long it runs."""
 
     needs: Resources
     duration: timedelta
@@ -54,8 +54,8 @@
 
 
 @dataclass(frozen=True)
-class NotedStart:
-    """Say which task began on which minion, and when."""
+class RecordedStart:
+    """Record which task started on which minion, and when."""
 
     task: TaskName
     minion: MinionEntry
@@ -64,32 +64,33 @@
 
 @dataclass
 class RunBook:
-    """Count the runs of all minions, to see promises broken.
+    """Record the runs of all minions, to detect violated guarantees.
 
-    `broken` lists what went wrong, in words. `works` says what each task takes; a task
-    that is not in it takes `usual`.
+    `broken` lists the violations as messages. `works` holds the work of individual
+    tasks; `usual` applies to all others.
     """
 
     usual: Work
     works: dict[TaskName, Work] = field(default_factory=dict)
     active: dict[TaskName, list[str]] = field(default_factory=dict)
-    noted: list[NotedStart] = field(default_factory=list)
+    noted: list[RecordedStart] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
 
     @property
     def starts(self) -> list[TaskName]:
-        """Return the tasks that began, in order."""
+        """Return the started tasks, in order."""
         return [noted.task for noted in self.noted]
 
     def work(self, task: TaskName) -> Work:
-        """Return what `task` takes."""
+        """Return the resources and duration of `task`."""
         return self.works.get(task, self.usual)
 
 
 class LeasedMinion:
-    """Run tasks by the clock, whatever their capacity, and keep every rule else.
+    """Simulate tasks by the clock, and obey leases, fencing and run numbers.
 
-    The minion's own clock, which leases go by, runs at `clock_rate` of the true one.
+    A start beyond the minion's capacity is accepted and recorded as a violation. The
+    minion's own clock, by which leases expire, runs at `clock_rate` times the true one.
     """
 
     def __init__(
@@ -97,7 +98,7 @@
         entry: MinionEntry,
         clock: Clock,
         book: RunBook,
-        lag_ms: int = 1_000,
+        clock_offset_ms: int = 1_000,
         clock_rate: float = 1.0,
     ) -> None:
         self.entry = entry
@@ -106,75 +107,78 @@
         self.failing = False
         self.alive = True
         self._clock = clock
-        self._book = book
-        self._lag_ms = lag_ms
+        self._run_book = book
+        self._clock_offset_ms = clock_offset_ms
         self._clock_rate = clock_rate
         self._token = FencingToken(0)
-        self._until_ms = 0
-        self._runs: dict[TaskName, StandInRun] = {}
-        self._highest: dict[TaskName, RunNumber] = {}
+        self._lease_until_ms = 0
+        self._runs: dict[TaskName, SimulatedRun] = {}
+        self._highest_run: dict[TaskName, RunNumber] = {}
         self._ends: list[EndedRun] = []
-        self._numbers = 0
-        self._ended = anyio.Event()
+        self._end_count = 0
+        self._run_ended = anyio.Event()
 
     @property
     def clock_ms(self) -> int:
-        """Return this minion's own clock."""
-        return self._lag_ms + self._clock.monotonic() * self._clock_rate // _MILLISECOND
+        """Return the time of this minion's own clock."""
+        return (
+            self._clock_offset_ms
+            + self._clock.monotonic() * self._clock_rate // _MILLISECOND
+        )
 
     @property
     def running(self) -> set[TaskName]:
-        """Return the tasks at work."""
+        """Return the tasks that have an active run."""
         return set(self._runs)
 
     @property
-    def runs(self) -> list[StandInRun]:
-        """Return the runs at work, whose work may be changed."""
+    def runs(self) -> list[SimulatedRun]:
+        """Return the active runs, which tests may modify."""
         return list(self._runs.values())
 
     def crash(self) -> None:
-        """End all runs; nothing responds here any more."""
+        """End all runs and stop responding."""
         self.alive = False
         for run in list(self._runs.values()):
-            self._leave(run)
+            self._remove_run(run)
 
     def tick(self) -> None:
-        """Let work go on, and end what is done or whose lease has passed."""
+        """Advance all runs; end those that are finished or whose lease has expired."""
         now = self._clock.monotonic()
-        expired = self.clock_ms >= self._until_ms
+        expired = self.clock_ms >= self._lease_until_ms
         for run in list(self._runs.values()):
             if run.stopped_at is not None:
-                if now - run.stopped_at >= STOP_TIME:
+                if now - run.stopped_at >= STOP_DURATION:
                     self._end(run, RunEnd.STOPPED)
                 continue
             if not self.stuck:
-                run.left -= (now - run.checked) / self.slowness
-            run.checked = now
+                run.left -= (now - run.updated_at) / self.slowness
+            run.updated_at = now
             if run.left <= timedelta(0):
                 self._end(run, RunEnd.FAILED if run.fails else RunEnd.DONE)
             elif expired:
                 self._end(run, RunEnd.EXPIRED)
 
-    def _end(self, run: StandInRun, end: RunEnd) -> None:
-        self._leave(run)
-        self._numbers += 1
-        self._ends.append(EndedRun(self._numbers, run.task, run.run, end))
-        self._ended.set()
+    def _end(self, run: SimulatedRun, end: RunEnd) -> None:
+        self._remove_run(run)
+        self._end_count += 1
+        self._ends.append(EndedRun(self._end_count, run.task, run.run, end))
+        self._run_ended.set()
 
-    def _leave(self, run: StandInRun) -> None:
+    def _remove_run(self, run: SimulatedRun) -> None:
         del self._runs[run.task]
-        self._book.active[run.task].remove(str(self.entry.id))
+        self._run_book.active[run.task].remove(str(self.entry.id))
 
-    def _check(self, entry: MinionEntry, token: FencingToken) -> None:
+    def _check_caller(self, entry: MinionEntry, token: FencingToken) -> None:
         if entry.id != self.entry.id:
             raise MinionGoneError(str(entry.id))
         if token < self._token:
             raise FencedError(str(token))
         self._token = token
 
-    def _extend(self, until_ms: int) -> None:
-        longest = self.clock_ms + LONGEST_LEASE // _MILLISECOND
-        self._until_ms = max(self._until_ms, min(until_ms, longest))
+    def _extend_lease(self, until_ms: int) -> None:
+        latest_ms = self.clock_ms + MAX_LEASE // _MILLISECOND
+        self._lease_until_ms = max(self._lease_until_ms, min(until_ms, latest_ms))
 
     async def hold(
         self,
@@ -184,15 +188,15 @@
         until_ms: int | None,
         wait: timedelta,
     ) -> ProbeReply:
-        """Extend the lease and tell what runs, once a run ends or `wait` is over."""
-        self._check(entry, token)
+        """Extend the lease, and report all runs once one ends or `wait` has passed."""
+        self._check_caller(entry, token)
         if until_ms is not None:
-            self._extend(until_ms)
+            self._extend_lease(until_ms)
         self._ends = [end for end in self._ends if end.number > acknowledged]
         if not self._ends and wait:
-            self._ended = anyio.Event()
+            self._run_ended = anyio.Event()
             with anyio.move_on_after(wait.total_seconds()):
-                await self._ended.wait()
+                await self._run_ended.wait()
         active = tuple(
             ActiveRun(run.task, run.run, round(100 * (1 - run.left / run.work)))
             for run in self._runs.values()
@@ -208,24 +212,24 @@
         run: RunNumber,
         until_ms: int,
     ) -> int:
-        """Start a run, and note it if another run of the task is at work."""
-        self._check(entry, token)
+        """Start a run; record a violation if another run of the task is active."""
+        self._check_caller(entry, token)
         if self._runs.get(task) and self._runs[task].run == run:
             return self.clock_ms
-        if run <= self._highest.get(task, 0):
+        if run <= self._highest_run.get(task, 0):
             raise StartRefusedError(StartRefusal.STALE_RUN)
-        self._extend(until_ms)
-        if self.clock_ms >= self._until_ms:
+        self._extend_lease(until_ms)
+        if self.clock_ms >= self._lease_until_ms:
             raise StartRefusedError(StartRefusal.LEASE_PASSED)
-        self._highest[task] = run
-        work = self._book.work(task)
-        others = self._book.active.setdefault(task, [])
+        self._highest_run[task] = run
+        work = self._run_book.work(task)
+        others = self._run_book.active.setdefault(task, [])
         if others:
-            self._book.broken.append(f"{task} on {self.entry.id} and {others}")
+            self._run_book.broken.append(f"{task} on {self.entry.id} and {others}")
         others.append(str(self.entry.id))
         now = self._clock.monotonic()
-        self._book.noted.append(NotedStart(task, self.entry, now))
-        self._runs[task] = StandInRun(
+        self._run_book.noted.append(RecordedStart(task, self.entry, now))
+        self._runs[task] = SimulatedRun(
             task,
             run,
             work.needs,
@@ -234,15 +238,15 @@
             now,
             work.fails or self.failing,
         )
-        self._check_room()
+        self._check_capacity()
         return self.clock_ms
 
-    def _check_room(self) -> None:
+    def _check_capacity(self) -> None:
         used = Resources()
         for run in self._runs.values():
             used = used + run.needs
         if not used.fits(self.entry.capacity):
-            self._book.broken.append(f"{self.entry.id} is over its capacity")
+            self._run_book.broken.append(f"{self.entry.id} is over its capacity")
 
     def stop(
         self,
@@ -251,25 +255,32 @@
         task: TaskName,
         run: RunNumber,
     ) -> None:
-        """Stop a run, or have it refused if it comes later.
+        """Stop a run, and refuse its start if that arrives later.
 
-        What is being stopped is not told as active any more, but uses its room still.
+        A stopping run is no longer reported as active, but still uses its resources.
         """
-        self._check(entry, token)
-        self._highest[task] = max(run, self._highest.get(task, RunNumber(0)))
-        at_work = self._runs.get(task)
-        if at_work is not None and at_work.run <= run:
-            at_work.stopped_at = at_work.stopped_at or self._clock.monotonic()
+        self._check_caller(entry, token)
+        self._highest_run[task] = max(run, self._highest_run.get(task, RunNumber(0)))
+        active_run = self._runs.get(task)
+        if active_run is not None and active_run.run <= run:
+            active_run.stopped_at = active_run.stopped_at or self._clock.monotonic()
 
 
 async def tick_all(
     minions: Callable[[], list[LeasedMinion]], clock: Clock, interval: timedelta
 ) -> None:
-    """Let the work of `minions` go on until cancelled."""
+    """Advance the runs of `minions` at every `interval` until cancelled."""
     while True:
         await clock.sleep(interval)
         for minion in minions():
             minion.tick()
 
 
-__all__ = ["LeasedMinion", "NotedStart", "RunBook", "StandInRun", "Work", "tick_all"]
+__all__ = [
+    "LeasedMinion",
+    "RecordedStart",
+    "RunBook",
+    "SimulatedRun",
+    "Work",
+    "tick_all",
+]
--- a/src/brasstray_standins/leased_minions.py
+++ b/src/brasstray_standins/leased_minions.py
@@ -1,4 +1,4 @@
-"""Reach stand-in minions as a host does, over a network with faults."""
+"""Call simulated minions over a network with injected faults."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 import anyio
 
 from brasstray.pool.errors import MinionSilentError
-from brasstray_standins.call_chaos import CallChaos, CallFate
+from brasstray_standins.call_chaos import CallChaos, CallOutcome
 from brasstray_standins.gate import Gate
 
 if TYPE_CHECKING:
@@ -28,19 +28,21 @@
 
     _T = TypeVar("_T")
 
-ONE_WAY = timedelta(milliseconds=1)
+ONE_WAY_DELAY = timedelta(milliseconds=1)
 
 
 class LeasedMinions:
-    """Call the minions of `places`; faults concern this caller only.
-
-    `cut` minions hear nothing, and `calls` counts the calls to each. `swallowed` counts
-    answers that are still to be lost. `late` holds back that many starts for
-    `lateness`, unanswered, and then has them carried out; `late_holds` holds back that
-    many extensions of leases, whose time counts from when they arrive.
-    `ignored_stops` counts stops that are answered and not carried out. Each call takes
-    `effort` of this caller's processor, one call after the other. `chaos` holds back or
-    loses any call at random.
+    """Call the minions in `places`; the faults affect this caller only.
+
+    cut: minions that can't be reached.
+    calls: the number of calls to each minion.
+    swallowed: how many of the next responses are lost.
+    late: how many of the next starts are executed after `lateness`, without response.
+    late_holds: how many of the next lease extensions are executed after `lateness`,
+        without response; the extension counts from when it arrives.
+    ignored_stops: how many of the next stops are acknowledged but not executed.
+    effort: CPU time that each call takes of this caller, one call at a time.
+    chaos: random delays and losses of any call.
     """
 
     def __init__(
@@ -58,8 +60,8 @@
         self.ignored_stops = 0
         self.lateness = timedelta(seconds=3)
         self.effort = timedelta(0)
-        self.chaos = CallChaos(Random(0), late=0.0, unanswered=0.0)
-        self._processor = anyio.Lock()
+        self.chaos = CallChaos(Random(0), delayed_share=0.0, unanswered_share=0.0)
+        self._cpu_lock = anyio.Lock()
         self._places = places
         self._clock = clock
         self._group = group
@@ -76,19 +78,19 @@
     ) -> ProbeReply:
         """Extend the lease of all runs, and wait up to `wait` for one to end."""
 
-        async def act(place: LeasedMinion) -> ProbeReply:
+        async def operation(place: LeasedMinion) -> ProbeReply:
             return await place.hold(minion, token, acknowledged, until_ms, wait)
 
         if until_ms is not None and self.late_holds > 0:
             self.late_holds -= 1
-            ahead = until_ms - self._places[minion.id].clock_ms
+            lease_ms = until_ms - self._places[minion.id].clock_ms
 
             async def extend(place: LeasedMinion) -> ProbeReply:
-                until = place.clock_ms + ahead
+                until = place.clock_ms + lease_ms
                 return await place.hold(minion, token, 0, until, timedelta(0))
 
-            await self._hold_back(minion, extend, timeout, self.lateness)
-        return await self._call(minion, act, timeout)
+            await self._delay_call(minion, extend, timeout, self.lateness)
+        return await self._call(minion, operation, timeout)
 
     async def start(
         self,
@@ -103,38 +105,38 @@
         """Start a run and return the minion's clock."""
         del spec
 
-        async def act(place: LeasedMinion) -> int:
+        async def operation(place: LeasedMinion) -> int:
             return place.start(minion, token, task, run, until_ms)
 
         if self.late > 0:
             self.late -= 1
-            await self._hold_back(minion, act, timeout, self.lateness)
-        return await self._call(minion, act, timeout)
+            await self._delay_call(minion, operation, timeout, self.lateness)
+        return await self._call(minion, operation, timeout)
 
-    async def _hold_back(
+    async def _delay_call(
         self,
         minion: MinionEntry,
-        act: Callable[[LeasedMinion], Awaitable[object]],
+        operation: Callable[[LeasedMinion], Awaitable[object]],
         timeout: timedelta,
-        lateness: timedelta,
+        delay: timedelta,
     ) -> NoReturn:
-        """Leave a call unanswered, and have it carried out after `lateness`."""
-        self._group.start_soon(self._act_late, minion, act, lateness)
+        """Execute a call after `delay`, and let the caller time out."""
+        self._group.start_soon(self._run_delayed, minion, operation, delay)
         await self._clock.sleep(timeout)
-        raise MinionSilentError("held back")
+        raise MinionSilentError("the call is delayed")
 
-    async def _act_late(
+    async def _run_delayed(
         self,
         minion: MinionEntry,
-        act: Callable[[LeasedMinion], Awaitable[object]],
-        lateness: timedelta,
+        operation: Callable[[LeasedMinion], Awaitable[object]],
+        delay: timedelta,
     ) -> None:
-        await self._clock.sleep(lateness)
+        await self._clock.sleep(delay)
         place = self._places[minion.id]
         if place.alive:
             try:
-                await act(place)
-            except Exception:  # noqa: BLE001, S110 - nobody waits for this answer
+                await operation(place)
+            except Exception:  # noqa: BLE001, S110 - the caller has timed out
                 return
 
     async def stop(
@@ -145,46 +147,46 @@
         run: RunNumber,
         timeout: timedelta,
     ) -> None:
-        """Stop a run, or have it refused if it comes later."""
+        """Stop a run, and have its start refused if that arrives later."""
 
-        async def act(place: LeasedMinion) -> None:
+        async def operation(place: LeasedMinion) -> None:
             if self.ignored_stops > 0:
                 self.ignored_stops -= 1
                 return
             place.stop(minion, token, task, run)
 
-        await self._call(minion, act, timeout)
+        await self._call(minion, operation, timeout)
 
     async def forget(self, minion: MinionEntry) -> None:
-        """Close nothing."""
+        """Do nothing, since no connection is kept."""
 
     async def _call(
         self,
         minion: MinionEntry,
-        act: Callable[[LeasedMinion], Awaitable[_T]],
+        operation: Callable[[LeasedMinion], Awaitable[_T]],
         timeout: timedelta,
     ) -> _T:
         await self._gate.wait()
         self.calls[minion.id] += 1
-        fate = self.chaos.draw()
-        if fate is CallFate.LATE:
-            lateness = self.chaos.draw_lateness()
-            await self._hold_back(minion, act, timeout, lateness)
+        outcome = self.chaos.draw()
+        if outcome is CallOutcome.LATE:
+            delay = self.chaos.draw_delay()
+            await self._delay_call(minion, operation, timeout, delay)
         with anyio.move_on_after(timeout.total_seconds()):
             if self.effort:
-                async with self._processor:
+                async with self._cpu_lock:
                     await self._clock.sleep(self.effort)
-            await self._clock.sleep(ONE_WAY)
+            await self._clock.sleep(ONE_WAY_DELAY)
             place = self._places[minion.id]
             if minion.id in self.cut or not place.alive:
                 await anyio.sleep_forever()
-            answer = await act(place)
+            answer = await operation(place)
             if self.swallowed > 0:
                 self.swallowed -= 1
                 await anyio.sleep_forever()
-            if fate is CallFate.UNANSWERED:
+            if outcome is CallOutcome.UNANSWERED:
                 await anyio.sleep_forever()
-            await self._clock.sleep(ONE_WAY)
+            await self._clock.sleep(ONE_WAY_DELAY)
             if minion.id not in self.cut:
                 await self._gate.wait()
                 return answer
--- a/src/brasstray_standins/memory_streams.py
+++ b/src/brasstray_standins/memory_streams.py
@@ -1,4 +1,4 @@
-"""Carry messages between hosts in memory, over a network that can be cut."""
+"""Connect hosts by in-memory message streams that can be partitioned."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 
 from brasstray.peer.message_stream import NobodyListensError, StreamClosedError
 from brasstray.peer.pool_messages import decode_frame, encode_frame
-from brasstray_standins.narrow_link import NarrowLink
+from brasstray_standins.rate_limited_link import RateLimitedLink
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -22,16 +22,17 @@
     from brasstray.peer.pool_messages import PoolMessage
     from brasstray_standins.gate import Gate
 
-ONE_WAY = timedelta(milliseconds=1.5)
+ONE_WAY_DELAY = timedelta(milliseconds=1.5)
 OPEN_TIMEOUT = timedelta(milliseconds=400)
 
 
-class Network:
-    """Know where hosts listen and which of them are cut off from one another.
+class StreamNetwork:
+    """Track listening hosts, open streams and network partitions.
 
-    A connection that was cut stays silent after the cut has healed; new ones work.
-    `opening` is how long a connection takes to open. `rate` tells how many bytes a
-    second the link of a machine carries each way; None for any number at once.
+    A stream that a partition has cut stays silent after the partition has healed; new
+    streams work. `opening` is how long a stream takes to open. `rate` returns the
+    bandwidth of a host's link in bytes per second each way, or None for no limit.
+    `sent` counts all messages.
     """
 
     def __init__(
@@ -39,51 +40,51 @@
     ) -> None:
         self._clock = clock
         self._rate = rate
-        self._links: dict[tuple[str, bool], NarrowLink] = {}
-        self.listening: dict[str, PoolHost] = {}
-        self.groups: dict[str, int] = {}
+        self._links: dict[tuple[str, bool], RateLimitedLink] = {}
+        self.listeners: dict[str, PoolHost] = {}
+        self.partitions: dict[str, int] = {}
         self.streams: list[MemoryStream] = []
-        self.opening = ONE_WAY
+        self.opening = ONE_WAY_DELAY
         self.sent = 0
 
-    def cut(self, groups: dict[str, int]) -> None:
-        """Let only hosts of the same number in `groups` reach one another."""
-        self.groups = groups
+    def cut(self, partitions: dict[str, int]) -> None:
+        """Partition the network: only hosts with equal numbers can connect."""
+        self.partitions = partitions
         for stream in self.streams:
             if not self.connected(stream.here, stream.there):
                 stream.silent = True
 
-    def link_from(self, machine: str) -> NarrowLink:
-        """Return what carries the bytes that `machine` sends."""
-        return self._link(machine, outwards=True)
+    def link_from(self, host: str) -> RateLimitedLink:
+        """Return the link over which `host` sends."""
+        return self._link(host, outbound=True)
 
-    def link_to(self, machine: str) -> NarrowLink:
-        """Return what carries the bytes that `machine` receives."""
-        return self._link(machine, outwards=False)
+    def link_to(self, host: str) -> RateLimitedLink:
+        """Return the link over which `host` receives."""
+        return self._link(host, outbound=False)
 
-    def _link(self, machine: str, *, outwards: bool) -> NarrowLink:
-        key = machine, outwards
+    def _link(self, host: str, *, outbound: bool) -> RateLimitedLink:
+        key = host, outbound
         if key not in self._links:
-            self._links[key] = NarrowLink(self._clock, self._rate(machine))
+            self._links[key] = RateLimitedLink(self._clock, self._rate(host))
         return self._links[key]
 
-    def connected(self, one: str, other: str) -> bool:
-        """Tell whether two hosts reach one another."""
-        return self.groups.get(one, 0) == self.groups.get(other, 0)
+    def connected(self, first: str, second: str) -> bool:
+        """Return whether two hosts are in the same partition."""
+        return self.partitions.get(first, 0) == self.partitions.get(second, 0)
 
     def reset(self, host: str) -> None:
-        """End every connection of `host`, as the end of its process does."""
+        """Close every stream of `host`, as happens when its process ends."""
         for stream in list(self.streams):
             if host in (stream.here, stream.there):
                 stream.break_off()
 
 
 class MemoryStream:
-    """Hold one end of a connection."""
+    """Hold one end of a stream between two hosts."""
 
     def __init__(
         self,
-        network: Network,
+        network: StreamNetwork,
         here: str,
         there: str,
         clock: Clock,
@@ -102,13 +103,13 @@
         network.streams.append(self)
 
     async def send(self, messages: list[PoolMessage]) -> None:
-        """Send `messages`; they are lost if the hosts are cut off."""
+        """Send `messages`; they are lost if a partition separates the hosts."""
         await self._gate.wait()
         self._network.sent += len(messages)
         if self.silent or not self._network.connected(self.here, self.there):
             return
         data = encode_frame(messages)
-        await self._network.link_from(self.here).carry(len(data))
+        await self._network.link_from(self.here).transmit(len(data))
         try:
             await self._sending.send(data)
         except (anyio.ClosedResourceError, anyio.BrokenResourceError) as error:
@@ -120,65 +121,67 @@
             data = await self._receiving.receive()
         except (anyio.ClosedResourceError, anyio.EndOfStream) as error:
             raise StreamClosedError("closed") from error
-        await self._clock.sleep(ONE_WAY)
-        await self._network.link_to(self.here).carry(len(data))
+        await self._clock.sleep(ONE_WAY_DELAY)
+        await self._network.link_to(self.here).transmit(len(data))
         await self._gate.wait()
         return decode_frame(data)
 
     async def aclose(self) -> None:
-        """End the connection."""
+        """Close the stream."""
         self.break_off()
 
     def break_off(self) -> None:
-        """End the connection at once."""
+        """Close the stream immediately."""
         self._sending.close()
         self._receiving.close()
         if self in self._network.streams:
             self._network.streams.remove(self)
 
 
-class MemoryOpener:
-    """Open connections from one host."""
+class MemoryStreamOpener:
+    """Open streams from one host."""
 
-    def __init__(self, network: Network, here: str, clock: Clock, gate: Gate) -> None:
+    def __init__(
+        self, network: StreamNetwork, here: str, clock: Clock, gate: Gate
+    ) -> None:
         self._network = network
         self._here = here
         self._clock = clock
         self._gate = gate
 
     async def open(self, address: str, port: int) -> MemoryStream:
-        """Return a connection to the host called `address`."""
+        """Return a new stream to the host called `address`."""
         del port
         await self._gate.wait()
         await self._clock.sleep(self._network.opening)
-        host = self._network.listening.get(address)
+        host = self._network.listeners.get(address)
         if not self._network.connected(self._here, address):
             await self._clock.sleep(OPEN_TIMEOUT)
-            raise StreamClosedError("no answer")
+            raise StreamClosedError("the connection timed out")
         if host is None:
             raise NobodyListensError("refused")
-        to_there, from_here = anyio.create_memory_object_stream[bytes](math.inf)
-        to_here, from_there = anyio.create_memory_object_stream[bytes](math.inf)
-        near = MemoryStream(
+        to_remote, from_local = anyio.create_memory_object_stream[bytes](math.inf)
+        to_local, from_remote = anyio.create_memory_object_stream[bytes](math.inf)
+        local = MemoryStream(
             self._network,
             self._here,
             address,
             self._clock,
             self._gate,
-            to_there,
-            from_there,
+            to_remote,
+            from_remote,
         )
-        far = MemoryStream(
+        remote = MemoryStream(
             self._network,
             address,
             self._here,
             self._clock,
             host.gate,  # type: ignore[attr-defined]
-            to_here,
-            from_here,
+            to_local,
+            from_local,
         )
-        host.accept(far)  # type: ignore[attr-defined]
-        return near
+        host.accept(remote)  # type: ignore[attr-defined]
+        return local
 
 
-__all__ = ["MemoryOpener", "MemoryStream", "Network"]
+__all__ = ["MemoryStream", "MemoryStreamOpener", "StreamNetwork"]
--- a/src/brasstray_standins/platform_app.py
+++ b/src/brasstray_standins/platform_app.py
@@ -27,10 +27,10 @@
 
 
 class PlatformApp:
-    """Translate between HTTP and the platform in memory.
+    """Serve the in-memory platform, and control it from tests.
 
-    PUT and DELETE of /switches/down fail and mend it; /starts tells how often each
-    task was started.
+    PUT /switches/down makes every call fail until DELETE /switches/down. /starts
+    returns the number of starts of each task.
     """
 
     def __init__(
@@ -55,10 +55,10 @@
         if path == "/hosts":
             hosts = await self._platform.hosts()
             listed = [host.model_dump(mode="json") for host in hosts]
-            tag = f'"{digest_of(repr(listed).encode())}"'
-            if header(scope, "if-none-match") == tag:
+            etag = f'"{digest_of(repr(listed).encode())}"'
+            if header(scope, "if-none-match") == etag:
                 return HttpResponse(304)
-            return json_response(200, listed, (("etag", tag),))
+            return json_response(200, listed, (("etag", etag),))
         if path == "/starts":
             return json_response(200, self._starts())
         if path == "/switches/down":
--- a/src/brasstray_standins/pool_system.py
+++ b/src/brasstray_standins/pool_system.py
@@ -1,4 +1,4 @@
-"""Run hosts and leased minions together in memory, on whatever clock there is."""
+"""Run hosts and leased minions together in memory, on a real or virtual clock."""
 
 from __future__ import annotations
 
@@ -30,7 +30,11 @@
 from brasstray_standins.leased_minion import LeasedMinion, RunBook, Work, tick_all
 from brasstray_standins.leased_minions import LeasedMinions
 from brasstray_standins.memory_store import MemoryStore, StoreView
-from brasstray_standins.memory_streams import MemoryOpener, MemoryStream, Network
+from brasstray_standins.memory_streams import (
+    MemoryStream,
+    MemoryStreamOpener,
+    StreamNetwork,
+)
 
 if TYPE_CHECKING:
     from collections.abc import Iterable
@@ -46,19 +50,20 @@
 CONFIG_KEY = f"{OPERATOR_PREFIX}config"
 EVACUATION_PREFIX = f"{OPERATOR_PREFIX}evacuate/"
 TICK = timedelta(milliseconds=1)
-STRONG_POWER = 4.0
-STRONG_LINK = 8.0
+STRONG_HOST_POWER = 4.0
+STRONG_HOST_LINK_FACTOR = 8.0
 USUAL_NEEDS = Resources(6_800, 64)
 USUAL_DURATION = timedelta(milliseconds=60)
 
 
 @dataclass(frozen=True)
 class PoolSystemSize:
-    """Say how much there is of everything.
+    """Define the numbers, capacities and speeds of hosts and minions.
 
-    The first `strong_each` hosts of each data centre are four times as strong, with
-    links eight times as fast. `link_rate` is how many bytes a second the link of any
-    other host carries each way. The clocks of minions run at `minion_clock_rate`.
+    The first `strong_each` hosts of each data centre have four times the power and
+    links eight times as fast. `link_rate` is the bandwidth of every other host's link
+    in bytes per second each way. The clocks of minions run at `minion_clock_rate`
+    times the true rate.
     """
 
     data_centres: int = 2
@@ -70,8 +75,8 @@
     minion_clock_rate: float = 1.0
 
 
-class _StoreOperators:
-    """Read a configuration that holds a version only, and evacuations."""
+class _StoreOperatorSource:
+    """Read evacuations and a configuration of which only the version counts."""
 
     def __init__(self, store: StoreView) -> None:
         self._store = store
@@ -92,8 +97,8 @@
         return OperatorEntries(
             self.parse(text) if text else None,
             as_of,
-            _centres(name for name, value in values.items() if value == b"{}"),
-            _centres(removed),
+            _data_centres_in(name for name, value in values.items() if value == b"{}"),
+            _data_centres_in(removed),
         )
 
     def parse(self, text: bytes) -> Configuration:
@@ -104,8 +109,8 @@
         return Configuration(ConfigVersion(version), (usual_queue(),), text=text)
 
 
-def _centres(names: Iterable[str]) -> frozenset[DataCentreName]:
-    """Return the data centres that the names of entries on evacuations end in."""
+def _data_centres_in(names: Iterable[str]) -> frozenset[DataCentreName]:
+    """Return the data centres named by those of `names` that denote evacuations."""
     found = (name.partition(EVACUATION_PREFIX) for name in names)
     return frozenset(DataCentreName(end) for _, prefix, end in found if prefix)
 
@@ -122,9 +127,10 @@
 
 @dataclass
 class RunningHost:
-    """Hold one process and the switches for its faults.
+    """Hold one host process and the objects that inject its faults.
 
-    `callers` are the scopes of those who wait for it; they break off when it ends.
+    `callers` are the cancel scopes of clients that wait for the host; they are
+    cancelled when the process ends.
     """
 
     host: PoolHost
@@ -132,28 +138,28 @@
     gate: Gate
     scope: anyio.CancelScope
     group: TaskGroup
-    served: list[anyio.CancelScope] = field(default_factory=list)
+    connections: list[anyio.CancelScope] = field(default_factory=list)
     callers: list[anyio.CancelScope] = field(default_factory=list)
 
     def accept(self, stream: MemoryStream) -> None:
-        """Serve a connection that another host opens."""
+        """Serve a stream that another host has opened."""
         scope = anyio.CancelScope()
-        self.served.append(scope)
+        self.connections.append(scope)
         self.group.start_soon(self._serve, stream, scope)
 
     async def _serve(self, stream: MemoryStream, scope: anyio.CancelScope) -> None:
         with scope:
             await self.host.serve(stream)
 
-    def end(self) -> None:
-        """End the process."""
-        for scope in (self.scope, *self.served, *self.callers):
+    def terminate(self) -> None:
+        """End the process and cancel its connections and callers."""
+        for scope in (self.scope, *self.connections, *self.callers):
             scope.cancel()
-        self.gate.remove()
+        self.gate.release()
 
 
 def usual_queue() -> Queue:
-    """Return the queue that all jobs of a stand-in system come from."""
+    """Return the queue of all jobs in a simulated system."""
     return Queue(
         QueueName("saldo"), "h", "/q/", SERVICE, 0, 3, 1.6, timedelta(milliseconds=60)
     )
@@ -162,13 +168,13 @@
 def usual_batch(
     name: str, width: int = 4, estimate: timedelta = USUAL_DURATION
 ) -> Batch:
-    """Return a job of one step with tasks of the usual kind."""
+    """Return a batch of one step whose tasks have the usual needs."""
     return Batch(BatchId(name), "", (Step(width, USUAL_NEEDS, estimate),))
 
 
 @dataclass
 class PoolSystem:
-    """Start, kill, freeze and cut hosts and minions."""
+    """Start, kill, freeze and partition hosts and minions."""
 
     group: TaskGroup
     metrics: PoolMetrics
@@ -179,7 +185,7 @@
         self.clock = LoopClock()
         self.random = Random(self.seed)
         self.store = MemoryStore(self.clock)
-        self.network = Network(self.clock, self._link_rate)
+        self.network = StreamNetwork(self.clock, self._link_rate)
         self.book = RunBook(Work(USUAL_NEEDS, USUAL_DURATION))
         self.places: dict[MinionId, LeasedMinion] = {}
         self.listed: list[MinionEntry] = []
@@ -194,7 +200,7 @@
         )
 
     def add_minion(self, name: str, centre: str) -> LeasedMinion:
-        """Start a minion and list it."""
+        """Start a minion and add it to the list of minions."""
         entry = MinionEntry(
             MinionId(name),
             SERVICE,
@@ -212,29 +218,29 @@
         return minion
 
     def set_draining(self, name: MinionId) -> None:
-        """List a minion as draining; it goes on with what it has."""
+        """List a minion as draining; its current runs continue."""
         self.listed = [
             replace(entry, draining=True) if entry.id == name else entry
             for entry in self.listed
         ]
 
     def set_config(self, version: int, size: int = 0) -> None:
-        """Write a configuration of `size` bytes or a few more, as the operator does."""
+        """Write a configuration slightly larger than `size` bytes, as operators do."""
         text = json.dumps({"version": version, "routes": "r" * size})
         self.store.put(CONFIG_KEY, text.encode())
 
     def evacuate(self, centre: str, value: bytes = b"{}") -> timedelta:
-        """Ask as the operator does for no new work in `centre`; return when."""
+        """Evacuate `centre`, as an operator does; return the time of the write."""
         self.store.put(EVACUATION_PREFIX + centre, value)
         return self.clock.monotonic()
 
     def resume(self, centre: str) -> timedelta:
-        """Take that back; return when."""
+        """Revoke the evacuation of `centre`; return the time of the removal."""
         self.store.remove(EVACUATION_PREFIX + centre)
         return self.clock.monotonic()
 
     def starts_in(self, centre: str) -> list[timedelta]:
-        """Return when tasks began in a data centre."""
+        """Return the times at which tasks started in a data centre."""
         noted = self.book.noted
         return [start.at for start in noted if start.minion.data_centre == centre]
 
@@ -248,7 +254,7 @@
         """Start a process on the host called `name`."""
         gate = Gate()
         clock = GatedClock(self.clock, gate)
-        view = StoreView(self.store, name, clock, self.network.link_to(name))
+        store_view = StoreView(self.store, name, clock, self.network.link_to(name))
         calls = LeasedMinions(self.places, clock, self.group, gate)
         identity = HostIdentity(
             HostName(name),
@@ -262,11 +268,11 @@
             clock,
             self.random,
             self.clock.monotonic,
-            view,
-            _StoreOperators(view),
-            _MinionList(view, self),
+            store_view,
+            _StoreOperatorSource(store_view),
+            _MinionList(store_view, self),
             calls,
-            MemoryOpener(self.network, name, clock, gate),
+            MemoryStreamOpener(self.network, name, clock, gate),
             EventLog(self.metrics),
         )
         centres = frozenset(map(DataCentreName, self.centres))
@@ -274,18 +280,18 @@
         scope = anyio.CancelScope()
         running = RunningHost(host, calls, gate, scope, self.group)
         self.hosts[name] = running
-        self.network.listening[name] = running  # type: ignore[assignment]
+        self.network.listeners[name] = running  # type: ignore[assignment]
         self.group.start_soon(self._run, host, scope)
         return running
 
     def _power(self, name: str) -> float:
-        return STRONG_POWER if self._is_strong(name) else 1.0
+        return STRONG_HOST_POWER if self._is_strong(name) else 1.0
 
     def _link_rate(self, name: str) -> float | None:
         rate = self.size.link_rate
         if rate is None or not self._is_strong(name):
             return rate
-        return rate * STRONG_LINK
+        return rate * STRONG_HOST_LINK_FACTOR
 
     def _is_strong(self, name: str) -> bool:
         return int(name.rpartition("-h")[2]) < self.size.strong_each
@@ -295,10 +301,10 @@
             await host.run()
 
     def kill(self, name: str) -> None:
-        """End a process; its connections are reset."""
+        """Kill a process and reset its connections."""
         running = self.hosts.pop(name)
-        running.end()
-        self.network.listening.pop(name, None)
+        running.terminate()
+        self.network.listeners.pop(name, None)
         self.network.reset(name)
 
     def owner(self, centre: int = 0) -> str:
@@ -309,8 +315,8 @@
             if running.host.owner is not None
             and running.host.identity.data_centre == self.centres[centre]
         ]
-        # A host that was cut off may still believe that it owns the pool: the one with
-        # the highest token does.
+        # A partitioned host may still believe that it owns the pool; the true owner has
+        # the highest fencing token.
         return max(names, key=lambda n: self.hosts[n].host.owner.token)  # type: ignore[union-attr]
 
     def other(self, centre: int = 0) -> str:
@@ -324,13 +330,13 @@
         )
 
     async def settle(self) -> None:
-        """Wait until every data centre has an owner that knows its minions."""
+        """Wait until every data centre should have an owner that knows its minions."""
         await self.clock.sleep(timedelta(seconds=1))
 
     async def submit(
         self, name: str, batch: Batch, timeout: timedelta = timedelta(seconds=3)
     ) -> BatchResult:
-        """Return the result of a job submitted to the host called `name`."""
+        """Submit a batch to the host called `name` and return its result."""
         coordinator = self.hosts[name].host.coordinator
         return await coordinator.run(batch, usual_queue(), timeout)
 
