--- a/src/brasstray/trace/__init__.py
+++ b/src/brasstray/trace/__init__.py
@@ -1,1 +1,1 @@
-"""Explain a request's outcome from the log lines of all hosts."""
+"""Explain the outcome of a request from the log lines of all hosts."""
--- a/src/brasstray/trace/cause.py
+++ b/src/brasstray/trace/cause.py
@@ -1,4 +1,4 @@
-"""Find the line that decided how a request ended."""
+"""Find the log line that explains the outcome of a request."""
 
 from __future__ import annotations
 
@@ -13,27 +13,27 @@
 
     from brasstray.trace.log_line import LogLine
 
-# A lost link is noticed, and a job with tasks beyond it given up, within about 1.5 s;
-# what lies further back than this did not decide.
+# A lost link is detected, and a job with tasks behind it is given up, within about
+# 1.5 s. Older lines cannot have caused the outcome.
 LOOK_BACK_SECONDS = 5.0
-# What may have made a request late, worst first: each costs a wait before its task can
-# run elsewhere.
+# Events that delay a request, in order of decreasing cost: after each, the task has to
+# wait before it can run elsewhere.
 _DELAYS = ("start_unanswered", "run_ended", "start_refused", "claimed", "moved")
 
 
 @dataclass(frozen=True, slots=True)
 class Cause:
-    """Hold the deciding line, if one was found, and what it means."""
+    """Hold the line that explains an outcome, if one was found, and its meaning."""
 
     line: LogLine | None
     meaning: str
 
 
 def find_cause(timeline: Sequence[LogLine], lines: Sequence[LogLine]) -> Cause:
-    """Return what decided the request of `timeline`.
+    """Return the cause of the outcome of the request whose lines are `timeline`.
 
-    `lines` are those of all hosts: where a host lost an owner or the store, the line
-    that says so names no request.
+    `lines` holds the lines of all hosts, because a line about a lost owner or an
+    unavailable store names no request.
     """
     answer = next((x for x in reversed(timeline) if x.kind == "answer"), None)
     if answer is None:
@@ -44,46 +44,56 @@
     match reason:
         case GiveUpReason.TASK_FAILED.value:
             failed = _last(timeline, _ended(RunEnd.FAILED))
-            return Cause(failed, "a task failed in as many runs as it may have")
+            return Cause(
+                failed, "a task failed in every run that its attempt limit allows"
+            )
         case GiveUpReason.OVERLOADED.value:
             back = _last(timeline, lambda line: line.kind == "rejected")
-            meaning = "an owner foresaw that the work waiting ahead takes too long"
+            meaning = (
+                "an owner estimated that the queued work takes longer than the timeout"
+            )
             return Cause(back, meaning)
         case GiveUpReason.EVACUATED.value:
             changed = _last(lines, _told_before(answer, "evacuations_changed"))
-            meaning = "operators have evacuated the data centres that its host reaches"
+            meaning = (
+                "operators have evacuated every data centre that its host can reach"
+            )
             return Cause(changed or answer, meaning)
         case GiveUpReason.NO_POOL.value:
             lost = _before(answer, lines, ("owner_lost", "pool_left", "store_lost"))
-            return Cause(lost, "its host had no owner of any pool in reach")
+            return Cause(lost, "its host could not reach the owner of any pool")
         case GiveUpReason.POOL_LOST.value:
             return _of_lost_pool(answer, timeline, lines)
         case GiveUpReason.TOO_LATE.value:
             slow = _first_delay(timeline)
-            return Cause(slow, "the caller's time ran out before all tasks had ended")
+            return Cause(slow, "the timeout expired before all tasks had ended")
         case GiveUpReason.CALLER_GONE.value | GiveUpReason.CANCELLED.value:
-            return Cause(answer, "the caller wanted the result no more")
+            return Cause(answer, "the caller disconnected or cancelled the request")
         case GiveUpReason.STOPPING.value:
             stood = _before(answer, lines, ("suspended", "draining"))
             return Cause(stood or answer, "its host was suspended or stopped")
-    return Cause(answer, "no rule for this reason; read the lines in order")
+    return Cause(
+        answer, "no explanation is known for this reason; read the lines in order"
+    )
 
 
 def _without_answer(timeline: Sequence[LogLine]) -> Cause:
     refused = _last(timeline, lambda line: line.kind == "refused")
     if refused is not None:
-        return Cause(refused, "refused before anything was done for it")
-    meaning = "no answer was logged: its host died, or its lines are missing"
+        return Cause(refused, "refused before any of its tasks was queued")
+    meaning = "no answer was logged: its host crashed, or its log lines are missing"
     return Cause(timeline[-1] if timeline else None, meaning)
 
 
 def _of_success(answer: LogLine, timeline: Sequence[LogLine]) -> Cause:
     if answer.number("took_ms") <= answer.number("objective_ms"):
-        return Cause(answer, "answered in time")
+        return Cause(answer, "answered within the objective")
     delay = _first_delay(timeline)
     if delay is None:
-        return Cause(answer, "late, with no fault: its tasks waited, or ran long")
-    return Cause(delay, "late: this cost a wait before the task could go on")
+        return Cause(
+            answer, "late without a fault: its tasks were queued, or ran for long"
+        )
+    return Cause(delay, "late: this delayed the task")
 
 
 def _of_lost_pool(
@@ -96,14 +106,16 @@
         ),
     )
     if doubt is not None:
-        return Cause(doubt, "an owner could not tell whether a task still runs")
+        return Cause(doubt, "an owner could not determine whether a task still runs")
     unfinished = answer.fields.get("unfinished")
     pools = set(unfinished.values()) if isinstance(unfinished, dict) else set()
     lost = _last(
         _back_from(answer, lines),
         lambda line: line.kind == "owner_lost" and line.fields.get("pool") in pools,
     )
-    return Cause(lost, "the owner of a pool with tasks of it was out of reach too long")
+    return Cause(
+        lost, "the owner of a pool that had its tasks was unreachable for too long"
+    )
 
 
 def _first_delay(timeline: Sequence[LogLine]) -> LogLine | None:
@@ -119,7 +131,7 @@
 
 
 def _told_before(answer: LogLine, kind: str) -> Callable[[LogLine], bool]:
-    """Return what finds a line of the answering host, however old."""
+    """Return a predicate for lines of the answering host, of any age."""
     return lambda line: (
         line.kind == kind and line.host == answer.host and line.at <= answer.at
     )
@@ -132,7 +144,7 @@
 
 
 def _back_from(answer: LogLine, lines: Sequence[LogLine]) -> list[LogLine]:
-    """Return what the answering host logged in the last seconds before `answer`."""
+    """Return the lines of the answering host within the window before `answer`."""
     oldest = answer.at - LOOK_BACK_SECONDS
     return [x for x in lines if x.host == answer.host and oldest <= x.at <= answer.at]
 
--- a/src/brasstray/trace/errors.py
+++ b/src/brasstray/trace/errors.py
@@ -1,10 +1,10 @@
-"""Name what can go wrong when logs are read."""
+"""Define the errors of reading and tracing logs."""
 
 from __future__ import annotations
 
 
 class TraceError(Exception):
-    """The logs do not tell what was asked."""
+    """Report that a trace failed; base of all errors of this package."""
 
 
 class UnreadableLogError(TraceError):
@@ -12,7 +12,7 @@
 
 
 class UnknownJobError(TraceError):
-    """No line names the job."""
+    """No line names the requested job."""
 
 
 __all__ = ["TraceError", "UnknownJobError", "UnreadableLogError"]
--- a/src/brasstray/trace/log_line.py
+++ b/src/brasstray/trace/log_line.py
@@ -1,4 +1,4 @@
-"""Describe one line that a host has logged."""
+"""Represent a parsed log line of a host."""
 
 from __future__ import annotations
 
@@ -9,16 +9,16 @@
     from collections.abc import Mapping
 
 MESSAGE_PREFIX = "brasstray:"
-# What the logging library adds to each line; it tells a reader nothing.
+# Fields that eliot adds to each line; they carry no information about the event.
 _ENVELOPE = frozenset({"timestamp", "task_uuid", "task_level", "message_type"})
 
 
 @dataclass(frozen=True, slots=True)
 class LogLine:
-    """Hold a line: when it was written in seconds, by which host, and its fields.
+    """Hold the time of a line in seconds, the host that wrote it, and its fields.
 
     `at` is the time that a log collector put in front of the line, or else the host's
-    own time of day, which may be off by what its clock is.
+    wall-clock time, which may be wrong by the error of its clock.
     """
 
     at: float
@@ -28,7 +28,7 @@
 
     @property
     def job(self) -> str | None:
-        """Return the request's id, if the line is about one."""
+        """Return the id of the request that the line is about, if any."""
         job = self.fields.get("job")
         return str(job) if job is not None else None
 
@@ -38,12 +38,12 @@
         return "" if value is None else str(value)
 
     def number(self, name: str) -> float:
-        """Return a field as a number; 0 if it is missing or no number."""
+        """Return a field as a number; 0 if it is missing or not a number."""
         value = self.fields.get(name)
         return float(value) if isinstance(value, (int, float)) else 0.0
 
     def shown(self) -> dict[str, object]:
-        """Return the fields that tell a reader something."""
+        """Return the fields to display: all but those of the library and null ones."""
         return {
             name: value
             for name, value in self.fields.items()
--- a/src/brasstray/trace/log_reader.py
+++ b/src/brasstray/trace/log_reader.py
@@ -1,4 +1,4 @@
-"""Read the log lines of hosts from files."""
+"""Read log lines of hosts from files."""
 
 from __future__ import annotations
 
@@ -14,9 +14,9 @@
 
 
 def read_logs(paths: Iterable[Path]) -> list[LogLine]:
-    """Return the lines of all files by time; raise UnreadableLogError.
+    """Return the lines of all files, sorted by time; raise UnreadableLogError.
 
-    Lines that no host wrote, such as those of a collector or a runtime, are left out.
+    Lines that no host wrote, such as those of a collector or a runtime, are skipped.
     """
     lines: list[LogLine] = []
     for path in paths:
@@ -37,10 +37,10 @@
 
 
 def parse_line(text: str, file_name: str) -> LogLine | None:
-    """Return the host's line in `text`, or None if no host wrote it.
+    """Parse the log line in `text`; return None if no host wrote it.
 
-    A collector may put the time in seconds and the host's name in front; else the host
-    is called as its file is.
+    A collector may put the time in seconds and the host's name in front. Without them,
+    `file_name` is used as the host's name.
     """
     front, brace, rest = text.partition("{")
     try:
--- a/src/brasstray/trace/trace.py
+++ b/src/brasstray/trace/trace.py
@@ -1,4 +1,4 @@
-"""Join what all hosts logged of one request."""
+"""Collect the lines that all hosts logged about one request."""
 
 from __future__ import annotations
 
@@ -16,9 +16,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Trace:
-    """Hold a request's lines by time, what decided it, and what was dropped.
+    """Hold the lines of a request, sorted by time, and the cause of its outcome.
 
-    `dropped` counts lines that hosts say they could not write: some of this request's
+    `dropped` counts the lines that hosts reported as dropped; lines of this request
     may be among them.
     """
 
@@ -29,7 +29,7 @@
 
 
 def trace_job(job: str, lines: Sequence[LogLine]) -> Trace:
-    """Return the trace of `job` in `lines`, which are by time.
+    """Return the trace of `job` in `lines`, which are sorted by time.
 
     Raise UnknownJobError if no line names it.
     """
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -1,4 +1,4 @@
-"""Check that a request's id leads to the line that decided how it ended."""
+"""Check that tracing a request finds the log line that explains its outcome."""
 
 from __future__ import annotations
 
@@ -16,7 +16,7 @@
 
 
 def line(at, host, kind, /, **fields):
-    """Return a line as a collector keeps it: time and host in front."""
+    """Return a line as a log collector stores it, after its time and host."""
     body = {**fields, "timestamp": 1.0, "message_type": f"brasstray:{kind}"}
     return f"  {at:.4f} {host} {json.dumps(body)}"
 
@@ -26,8 +26,7 @@
 
 
 FAILED_RUN = {"end": "failed", "task": "0.1", "run": 3, "minion": "m1"}
-# The lines of a request and of its surroundings, and the line that decided: its kind
-# and time.
+# For each case the log lines, and the kind and time of the line that is the cause.
 STORIES = {
     "refused under load": (
         [
@@ -115,7 +114,7 @@
 
 @pytest.mark.parametrize("name", STORIES)
 def test_the_deciding_line_is_found(tmp_path, name):
-    # An operator has the id of a request that a caller complains of, and the logs.
+    # Lines may come in any order, and lines of other requests are ignored.
     lines, decided = STORIES[name]
     noise = line(0.5, "a2", "answer", job="0" * 16, outcome="not_run")
     trace = trace_job(JOB, read_logs([read(tmp_path, [*reversed(lines), noise])]))
