--- a/src/brasstray/metrics/__init__.py
+++ b/src/brasstray/metrics/__init__.py
@@ -1,1 +1,1 @@
-"""Count what the system does."""
+"""Record metrics and render them for Prometheus."""
--- a/src/brasstray/metrics/metrics.py
+++ b/src/brasstray/metrics/metrics.py
@@ -1,4 +1,4 @@
-"""Count refusals, retries, starts and messages with OpenTelemetry."""
+"""Count answers, retries, starts and peer messages with OpenTelemetry."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
             self._reasons.add(1, {_REASON: reason.value})
 
     def count_retry(self, reason: Enum) -> None:
-        """Count a start that gave no result."""
+        """Count a start that had no result and is retried."""
         self._retries.add(1, {_REASON: reason.value})
 
     def count_start(self) -> None:
@@ -45,18 +45,18 @@
 
 
 class ReadableMetrics:
-    """Keep counts in memory for a program that prints them."""
+    """Keep counters in memory, for programs that print their totals."""
 
     def __init__(self) -> None:
         self._reader = InMemoryMetricReader()
         self._provider = MeterProvider([self._reader])
 
     def metrics(self, host: str) -> Metrics:
-        """Return counters for `host`."""
+        """Return the counters of `host`."""
         return Metrics(self._provider.get_meter(host))
 
     def totals(self) -> dict[str, dict[str, int]]:
-        """Return the count by counter and attribute, over all hosts."""
+        """Return the sum over all hosts, by counter and attribute values."""
         totals: dict[str, dict[str, int]] = {}
         data = self._reader.get_metrics_data()
         for resource in data.resource_metrics if data else ():
--- a/src/brasstray/metrics/pool_metrics.py
+++ b/src/brasstray/metrics/pool_metrics.py
@@ -1,4 +1,4 @@
-"""Count what hosts do with jobs that are not stored."""
+"""Record metrics of hosts for jobs that are not stored."""
 
 from __future__ import annotations
 
@@ -16,14 +16,14 @@
 
 _SECOND = timedelta(seconds=1)
 _REASON = "reason"
-# Below 1 an answer is on time, up to 3 it is late, beyond it is of little use.
+# Up to 1 an answer is on time, up to 3 it is late, and above 3 it is of little use.
 RATIO_BOUNDS = (0.25, 0.5, 0.75, 1.0, 1.5, 2.0, 3.0, 5.0, 10.0)
-# From the time of a round trip to that after which most callers have left.
+# From a network round trip to the wait after which most callers have disconnected.
 WAIT_BOUNDS_SECONDS = (0.005, 0.01, 0.025, 0.05, 0.1, 0.25, 0.5, 1.0, 2.5)
 
 
 class PoolMetrics:
-    """Hold the counters and histograms of one host."""
+    """Hold the counters, histograms and gauges of one host."""
 
     def __init__(self, meter: Meter) -> None:
         self._meter = meter
@@ -59,7 +59,7 @@
     def observe(
         self, name: str, description: str, read: Callable[[], Mapping[str, float]]
     ) -> None:
-        """Have `read` called at each scrape; its keys become the label `of`."""
+        """Add a gauge that calls `read` at each scrape; keys become the label `of`."""
 
         def observations(_: CallbackOptions) -> list[Observation]:
             return [Observation(value, {"of": key}) for key, value in read().items()]
@@ -71,7 +71,7 @@
     def count_answer(
         self, result: BatchResult, took: timedelta, objective: timedelta
     ) -> None:
-        """Count an answer by outcome and reason, and its time over the objective."""
+        """Count an answer by outcome and reason, and record its latency ratio."""
         self._answers.add(1, {"outcome": result.outcome.value})
         self._latency.record(took / max(objective, _SECOND / 1_000))
         if result.reason is not None:
@@ -82,19 +82,19 @@
         self._reasons.add(1, {_REASON: reason})
 
     def count_retry(self, reason: str) -> None:
-        """Count a task that is asked for again."""
+        """Count a task that is requested again."""
         self._retries.add(1, {_REASON: reason})
 
     def count_config_bytes(self, what: str, size: int) -> None:
-        """Count bytes of configurations that pass between hosts."""
+        """Count bytes of configurations exchanged with hosts, by what became of them."""
         self._config_bytes.add(size, {"what": what})
 
     def count_start(self, waited: timedelta) -> None:
-        """Count a start and how long its task had waited."""
+        """Count a start, and record how long its task was queued."""
         self._wait.record(waited / _SECOND)
 
     def count_end(self, how: str) -> None:
-        """Count the end of a run."""
+        """Count the end of a run, by how it ended."""
         self._ends.add(1, {"end": how})
 
 
--- a/src/brasstray/metrics/prometheus_text.py
+++ b/src/brasstray/metrics/prometheus_text.py
@@ -1,7 +1,7 @@
-"""Write measurements in the text format of Prometheus.
+"""Render metrics in the Prometheus text format.
 
-The exporter that OpenTelemetry has for this brings a registry and a server of its own,
-and 3 MB of memory a host; the format is a line a value.
+The Prometheus exporter of OpenTelemetry brings its own registry and HTTP server, and
+costs 3 MB of memory on each host. The format itself is one line for each value.
 """
 
 from __future__ import annotations
@@ -22,7 +22,7 @@
 
 
 def prometheus_text(data: MetricsData | None) -> str:
-    """Return a line for each value in `data`, with its type and meaning."""
+    """Render `data`: one line for each value, after the HELP and TYPE lines."""
     lines: list[str] = []
     for resource in data.resource_metrics if data else ():
         for scope in resource.scope_metrics:
--- a/tests/metrics/test_prometheus_text.py
+++ b/tests/metrics/test_prometheus_text.py
@@ -1,4 +1,4 @@
-"""Check the text that metrics are scraped as."""
+"""Check the Prometheus text output of metrics."""
 
 from __future__ import annotations
 
