--- a/src/brasstray/log/__init__.py
+++ b/src/brasstray/log/__init__.py
@@ -1,1 +1,1 @@
-"""Write log lines without ever waiting for whoever reads them."""
+"""Write log lines without blocking on a slow reader."""
--- a/src/brasstray/log/bounded_output.py
+++ b/src/brasstray/log/bounded_output.py
@@ -1,4 +1,4 @@
-"""Write lines to a file descriptor without blocking, and count what is dropped."""
+"""Write log lines to a file descriptor without blocking, and count dropped lines."""
 
 from __future__ import annotations
 
@@ -13,18 +13,18 @@
 if TYPE_CHECKING:
     from brasstray.clock.clock import Clock
 
-# Lines wait this long at most, so that a burst costs one system call.
+# The longest time that a line is buffered, so that a burst costs one system call.
 FLUSH_INTERVAL = timedelta(milliseconds=100)
-# About a second of lines of a host in the worst storm; beyond it lines are dropped.
+# About what a host logs in a second of the worst burst of failures; more is dropped.
 MOST_LINES = 1_000
 MOST_LINES_A_SECOND = 300
 
 
 class BoundedOutput:
-    """Take eliot's messages, and write some of them each interval.
+    """Write eliot messages through a bounded buffer with a rate limit.
 
-    Guards against a reader of the log that stands still, or a storm of failures: a
-    line that cannot be kept is dropped and counted, and the count is written.
+    A log reader that hangs, or a burst of failures, must not block the host: a line
+    over either limit is dropped and counted, and the count is logged.
     """
 
     def __init__(self, descriptor: int, clock: Clock) -> None:
@@ -39,11 +39,11 @@
 
     @property
     def dropped(self) -> int:
-        """Return how many lines were dropped and not yet told of."""
+        """Return how many lines were dropped since the last `lines_dropped` line."""
         return self._dropped
 
     def __call__(self, message: dict[str, Any]) -> None:
-        """Take one message."""
+        """Buffer one message, or drop it if it exceeds a limit."""
         self._wake.set()
         if len(self._lines) >= MOST_LINES or self._allowed < 1:
             self._dropped += 1
@@ -52,7 +52,7 @@
         self._lines.append(json.dumps(message, default=str).encode() + b"\n")
 
     async def run(self) -> None:
-        """Write until cancelled."""
+        """Write buffered lines at each flush interval until cancelled."""
         self._renewed_at = self._clock.monotonic()
         while True:
             await self._wake.wait()
@@ -68,7 +68,7 @@
         self._renewed_at = now
 
     def flush(self) -> None:
-        """Write what can be written at once."""
+        """Write as many buffered bytes as the descriptor accepts without blocking."""
         if self._dropped and len(self._lines) < MOST_LINES:
             told = {"message_type": "brasstray:lines_dropped", "count": self._dropped}
             self._dropped = 0
@@ -82,7 +82,7 @@
         except BlockingIOError:
             written = 0
         except OSError:
-            # Nobody reads any more; there is nowhere to say so.
+            # The reader has closed its end, so the error cannot be logged.
             self._rest = b""
             return
         self._rest = data[written:]
