--- a/src/brasstray/metrics/pool_metrics.py
+++ b/src/brasstray/metrics/pool_metrics.py
@@ -86,7 +86,7 @@
         self._retries.add(1, {_REASON: reason})
 
     def count_config_bytes(self, what: str, size: int) -> None:
-        """Count bytes of configurations exchanged with hosts, by what became of them."""
+        """Count bytes of configurations exchanged with hosts, by their use."""
         self._config_bytes.add(size, {"what": what})
 
     def count_start(self, waited: timedelta) -> None:
