--- a/src/brasstray/host/__init__.py
+++ b/src/brasstray/host/__init__.py
@@ -1,1 +1,1 @@
-"""Join the parts of a host that serves callers and may own a pool of minions."""
+"""Implement a host, which serves callers and may own a pool of minions."""
--- a/src/brasstray/host/config_exchange.py
+++ b/src/brasstray/host/config_exchange.py
@@ -1,4 +1,4 @@
-"""Bring the configurations of two hosts to the newer one of both."""
+"""Exchange configurations with other hosts, so that the newest reaches every host."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     from brasstray.host.timing import HostTiming
     from brasstray.peer.pool_messages import PoolMessage
 
-# A heartbeat waits behind one part at most, so a part must be short on narrow links.
+# A heartbeat queues behind one part at most, so parts must be short on slow links.
 PART_BYTES = 16_384
 
 
 class ConfigExchange:
-    """Answer hosts that are behind, and fetch from hosts that are ahead.
+    """Send the configuration to hosts with an older one, and fetch newer ones.
 
-    Versions travel on every heartbeat; a text goes only to a host that asks for it.
+    Every heartbeat carries the version; the text is sent only to hosts that request it.
     """
 
     def __init__(
@@ -47,7 +47,7 @@
     def hear(
         self, host: str, version: ConfigVersion, tell: Callable[[PoolMessage], None]
     ) -> None:
-        """Record that `host`, reached by `tell`, has `version` in force."""
+        """Record that `host` has `version` in force; `tell` sends a message to it."""
         self._fetch.offer(host, version, tell)
 
     def take(
@@ -56,7 +56,7 @@
         message: ConfigWanted | ConfigPart,
         tell: Callable[[PoolMessage], None],
     ) -> None:
-        """Take a question or a part from `host`, which is reached by `tell`."""
+        """Handle a request or a part from `host`; `tell` sends a message to it."""
         match message:
             case ConfigPart():
                 self._fetch.take(host, message)
@@ -68,7 +68,10 @@
 
 
 def part_for(wanted: ConfigWanted, current: Configuration) -> ConfigPart:
-    """Return the part of `current` that a host asks for."""
+    """Return the part of `current` that a host has requested.
+
+    It is the first part if the requested version is no longer in force.
+    """
     offset = wanted.offset if wanted.version == current.version else 0
     return ConfigPart(
         version=current.version,
--- a/src/brasstray/host/config_fetch.py
+++ b/src/brasstray/host/config_fetch.py
@@ -1,4 +1,4 @@
-"""Fetch a newer configuration from a host that has it, part by part."""
+"""Fetch a newer configuration in parts from a host that has it."""
 
 from __future__ import annotations
 
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class _Offer:
-    """Hold which version a host has, and how to ask it."""
+    """Hold the version that a host has, and how to request it."""
 
     host: str
     version: ConfigVersion
@@ -31,17 +31,19 @@
 
 
 class ConfigFetch:
-    """Ask one host at a time for one part at a time, and keep what has come.
-
-    Guards against a failure that outlives its cause. Texts of hundreds of kilobytes
-    that are sent unasked, with each heartbeat that still names an older version, fill
-    the links; heartbeats wait behind them, both ends count as lost, and each new link
-    begins with the text again. It shows as owners lost for silence and pools that
-    change hands from a large change of configuration on. Here a host that is behind has
-    one part under way, or one more each 0.6 s where none comes, and others have none.
-
-    With 36 hosts, links of 12.5 Mbit/s to the weaker ones, and 1,800 routes, one change
-    took 98 texts of 330 KB between hosts, and a quarter of the answers of that second.
+    """Request one part at a time from one host at a time, and keep what was received.
+
+    Guards against congestion that outlives its cause. If a text of hundreds of
+    kilobytes is pushed with each heartbeat that names an older version, such texts
+    saturate the links. Heartbeats queue behind them, both ends consider the link lost,
+    and each new link starts the text again. The symptom is owners lost for silence, and
+    pools that change owners repeatedly from a large change of configuration on. Here a
+    host with an older version has one part in flight, plus one more for each 0.6 s
+    without a reply; other hosts have none.
+
+    With 36 hosts, links of 12.5 Mbit/s to the weaker ones, and 1,800 routes, pushing
+    one change sent 98 texts of 330 KB between hosts, and cost a quarter of the answers
+    of that second.
     """
 
     def __init__(
@@ -64,24 +66,24 @@
 
     @property
     def _known(self) -> ConfigVersion:
-        """Return the newest version of which no text is wanted."""
+        """Return the newest version whose text need not be fetched."""
         return max(self._config.version, self._unreadable)
 
     def offer(
         self, host: str, version: ConfigVersion, ask: Callable[[ConfigWanted], None]
     ) -> None:
-        """Record that `host` has `version`, and that `ask` sends it a message."""
+        """Record that `host` has `version`; `ask` sends it a request."""
         if version > self._known:
             self._offers[host] = _Offer(host, version, ask)
             self._offered.set()
 
     def take(self, host: str, part: ConfigPart) -> None:
-        """Take a part that `host` has sent."""
+        """Add a part that `host` has sent, or discard it if it is not the next one."""
         if part.version > max(self._version, self._known) and not part.offset:
             self._version = part.version
             self._text.clear()
         if part.version != self._version or part.offset != len(self._text):
-            # A late answer to what was asked for again meanwhile.
+            # A late reply to a request that was repeated in the meantime.
             self._events.config_unneeded(host, len(part.text))
             return
         self._text += part.text
@@ -90,19 +92,19 @@
             self._put_in_force(host)
 
     async def run(self) -> None:
-        """Fetch what is offered, until cancelled."""
+        """Fetch offered versions until cancelled."""
         while True:
             await self._offered.wait()
             self._offered = anyio.Event()
             if self._config.in_touch:
-                # The store tells every host of a change within tens of milliseconds:
-                # what it is about to bring need not come from another host as well.
+                # The store notifies every host of a change within tens of milliseconds,
+                # so wait for it before fetching the same text from another host.
                 await self._clock.sleep(self._timing.config_head_start)
             while (offer := self._best()) is not None:
                 await self._fetch(offer)
 
     def _best(self) -> _Offer | None:
-        """Return the newest offer, if any is newer than what is in force here."""
+        """Return the offer of the newest version, if any needs to be fetched."""
         known = self._known
         newer = [offer for offer in self._offers.values() if offer.version > known]
         if not newer:
@@ -110,7 +112,7 @@
         return max(newer, key=lambda offer: offer.version, default=None)
 
     async def _fetch(self, offer: _Offer) -> None:
-        """Ask for part after part until the version is in force or no part comes."""
+        """Request parts until the version is in force or a reply times out."""
         wanted = max(offer.version, self._version)
         self._events.config_wanted(offer.host, wanted, len(self._text))
         while self._known < wanted:
@@ -120,7 +122,7 @@
             with anyio.move_on_after(self._timing.config_part.total_seconds()):
                 await self._came.wait()
             if not self._came.is_set():
-                # Another host may answer; this one is asked again once it is heard of.
+                # Try other hosts; this one is retried after its next heartbeat.
                 self._offers.pop(offer.host, None)
                 self._events.config_not_told(offer.host, wanted, len(self._text))
                 return
@@ -128,7 +130,7 @@
         self._forget_known()
 
     def _forget_known(self) -> None:
-        """Drop what has come of a version that the store brought meanwhile."""
+        """Discard a partial text if the store has delivered its version meanwhile."""
         if self._text and self._version <= self._known:
             self._events.config_unneeded("the store came first", len(self._text))
             self._text.clear()
@@ -139,7 +141,7 @@
         self._text.clear()
         version, self._version = self._version, NO_CONFIG
         if not self._config.adopt_text(text, host):
-            # Guards against fetching for ever what cannot be read here.
+            # A text that cannot be parsed here would otherwise be fetched forever.
             self._unreadable = max(self._unreadable, version)
 
 
--- a/src/brasstray/host/current_config.py
+++ b/src/brasstray/host/current_config.py
@@ -1,4 +1,4 @@
-"""Hold the newest configuration that this host has seen."""
+"""Hold the newest configuration that this host has received."""
 
 from __future__ import annotations
 
@@ -16,10 +16,10 @@
 
 
 class CurrentConfig:
-    """Adopt newer configurations only, from the store or from a peer.
+    """Adopt only newer configurations, from the store or from a peer.
 
-    An older one can come from a stale read or a peer that is behind; adopting it would
-    take a change back that callers have seen.
+    A stale read or an outdated peer can deliver an older one; adopting it would revert
+    a change that callers have already seen.
     """
 
     def __init__(self, source: OperatorSource, events: HostEvents) -> None:
@@ -36,24 +36,24 @@
 
     @property
     def version(self) -> ConfigVersion:
-        """Return the version in force; NO_CONFIG if none is."""
+        """Return the version in force, or NO_CONFIG."""
         return self._current.version if self._current else NO_CONFIG
 
     @property
     def in_touch(self) -> bool:
-        """Tell whether the store answered when it was last asked, or was not asked."""
+        """Return whether the store answered the last request; True before the first."""
         return self._in_touch
 
     async def wait_known(self) -> None:
-        """Wait until there is a configuration."""
+        """Wait until a configuration is in force."""
         await self._known.wait()
 
     def note_store(self, *, answers: bool) -> None:
-        """Record whether the store has answered."""
+        """Record whether a request to the store was answered."""
         self._in_touch = answers
 
     def adopt(self, found: Configuration | None, source: str) -> bool:
-        """Put `found` in force if it is newer; tell whether it was."""
+        """Put `found` in force if it is newer; return whether it was."""
         if found is None or found.version <= self.version:
             return False
         self._current = found
@@ -62,9 +62,9 @@
         return True
 
     def adopt_text(self, text: bytes, source: str) -> bool:
-        """Put the configuration in `text` in force if it is newer; tell whether it was.
+        """Parse `text` and put it in force if it is newer; return whether it was.
 
-        One that cannot be read leaves the last one in force.
+        A text that cannot be parsed leaves the last configuration in force.
         """
         try:
             found = self._source.parse(text)
--- a/src/brasstray/host/evacuations.py
+++ b/src/brasstray/host/evacuations.py
@@ -1,4 +1,4 @@
-"""Know which data centres operators have evacuated."""
+"""Track which data centres operators have evacuated."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class Evacuations:
-    """Adopt the newest set, from the store or from another host.
+    """Adopt the newest set of evacuated data centres, from the store or a host.
 
     Guards against starts in a data centre that operators believe to be empty: an owner
-    that the store turns away, or whose watch has gone silent, does not learn of it from
-    there. Each heartbeat between hosts carries the set and the store's version that it
-    was read at, so that one host that reads it tells all.
+    that the store refuses, or whose watch is silent, does not learn of the evacuation
+    from the store. Each heartbeat between hosts carries the set and the store version
+    at which it was read, so that one host that reads it informs all others.
 
-    Only `data_centres` can be evacuated; without any, every name counts.
+    Only `data_centres` can be evacuated; if it is empty, every name is accepted.
     """
 
     def __init__(
@@ -50,23 +50,23 @@
 
     @property
     def source(self) -> str:
-        """Return who told the newest set: the store, or a host."""
+        """Return the source of the newest set: the store, or the name of a host."""
         return self._source
 
     @property
     def heard_ago(self) -> timedelta:
-        """Return how old the newest word on the set is."""
+        """Return the time since the newest set was received."""
         return self._clock.monotonic() - self._heard_at
 
     def covers(self, pool: PoolId) -> bool:
-        """Return whether the minions of `pool` get nothing new."""
+        """Return whether the data centre of `pool` is evacuated."""
         return DataCentreName(pool) in self._current.data_centres
 
     def learn(self, entries: OperatorEntries, *, whole: bool) -> None:
-        """Take what the store tells: the `whole` set, or changes of it.
+        """Apply entries from the store: the `whole` set, or changes to it.
 
-        Changes go on top of whatever is newest here. What another host told meanwhile
-        has some of them already, and having them twice changes nothing.
+        Changes are applied to the newest set known here. A set received from another
+        host may include some of them already; applying them twice changes nothing.
         """
         before = frozenset() if whole else self._current.data_centres
         named = frozenset(self._named(entries.evacuated))
@@ -81,7 +81,7 @@
                 self._events.entry_ignored(f"evacuation of {centre!r}", "unknown")
 
     def adopt(self, found: EvacuationSet, source: str) -> None:
-        """Take `found` for the truth if it was read later than what is known."""
+        """Adopt `found` if it was read at a later version than the current set."""
         if found.as_of <= self._current.as_of:
             return
         before, self._current = self._current, found
@@ -92,7 +92,7 @@
             self._changed.set()
 
     async def wait_for_change(self) -> None:
-        """Wait until a data centre was evacuated or resumed since the last wait."""
+        """Wait until the set has changed since the last wait."""
         await self._changed.wait()
         self._changed = anyio.Event()
 
--- a/src/brasstray/host/event_log.py
+++ b/src/brasstray/host/event_log.py
@@ -1,4 +1,4 @@
-"""Write a line for each decision, and count those that operators watch."""
+"""Log the events of a host, and count those that operators monitor."""
 
 from __future__ import annotations
 
@@ -26,12 +26,12 @@
     from brasstray.pool.step_tasks import StepTasks
 
 _MILLISECOND = timedelta(milliseconds=1)
-# Entries remembered as told of; a fleet has a few hundred minions in all.
+# Ignored entries that are remembered as logged; a fleet has a few hundred minions.
 MOST_IGNORED = 1_000
 
 
 class EventLog:
-    """Tell eliot and the counters what a host decides and believes."""
+    """Log events with eliot and count them."""
 
     def __init__(self, metrics: PoolMetrics) -> None:
         self._metrics = metrics
@@ -43,7 +43,7 @@
     def answered(
         self, active: ActiveBatch, result: BatchResult, took: timedelta
     ) -> None:
-        """A job has its result."""
+        """Record the result of a job."""
         objective = active.due - active.arrived
         self._metrics.count_answer(result, took, objective)
         reason = result.reason.value if result.reason else None
@@ -66,24 +66,24 @@
         )
 
     def moved(self, active: ActiveBatch, count: int, pool: PoolId) -> None:
-        """Tasks go to another pool than the one first asked."""
+        """Record that tasks are sent to another pool than the first one."""
         self._metrics.count_reason("moved")
         log_message("brasstray:moved", job=active.batch.id, tasks=count, pool=pool)
 
     def claimed(self, active: ActiveBatch, count: int, pool: PoolId) -> None:
-        """Tasks are asked for again at a pool with a new owner or link."""
+        """Record that tasks are claimed again from a pool with a new owner or link."""
         self._metrics.count_retry("claimed")
         log_message("brasstray:claimed", job=active.batch.id, tasks=count, pool=pool)
 
     # Runs
 
     def started(self, minion: Minion, record: RunRecord, waited: timedelta) -> None:
-        """A start is being sent."""
+        """Record that a start is being sent."""
         del minion, record
         self._metrics.count_start(waited)
 
     def ended(self, minion: Minion, record: RunRecord, end: RunEnd) -> None:
-        """A run has ended."""
+        """Record the end of a run; only runs that did not succeed are logged."""
         self._metrics.count_end(end.value)
         if end is RunEnd.DONE:
             return
@@ -97,7 +97,7 @@
         )
 
     def refused(self, minion: Minion, record: RunRecord, why: StartRefusal) -> None:
-        """A minion refused a start."""
+        """Record that a minion refused a start."""
         self._metrics.count_retry(why.value)
         log_message(
             "brasstray:start_refused",
@@ -106,7 +106,7 @@
         )
 
     def unanswered(self, minion: Minion, record: RunRecord) -> None:
-        """A start had no response."""
+        """Record that a start had no response."""
         self._metrics.count_retry("unanswered")
         log_message(
             "brasstray:start_unanswered",
@@ -116,7 +116,7 @@
     def run_found(
         self, minion: Minion, record: RunRecord, phase: TaskPhase | None
     ) -> None:
-        """A run is seen that this owner did not start."""
+        """Record a run that this owner did not start."""
         log_message(
             "brasstray:run_found",
             **_run_fields(minion, record),
@@ -126,7 +126,7 @@
     def leases_expired(
         self, minion: Minion, reckoning: LeaseReckoning, *, certain: bool
     ) -> None:
-        """All runs on an unreachable minion have ended."""
+        """Record that the leases of all runs on an unreachable minion have expired."""
         self._metrics.count_reason("leases_expired" if certain else "expiry_uncertain")
         log_message(
             "brasstray:leases_expired",
@@ -143,7 +143,7 @@
     def recovered(
         self, pool: PoolId, minions: int, unreached: int, queued: int, given_up: int
     ) -> None:
-        """An owner knows what its minions run, or waits no longer to learn it."""
+        """Record that an owner has recovered its pool, or stopped waiting to."""
         log_message(
             "brasstray:pool_recovered",
             pool=pool,
@@ -154,18 +154,18 @@
         )
 
     def suspected(self, minion: Minion, why: Evidence) -> None:
-        """A minion gets no tasks for a while."""
+        """Record that a minion is suspected and gets no tasks for a while."""
         self._metrics.count_reason(f"suspected_{why.value}")
         log_message(
             "brasstray:minion_suspected", minion=minion.entry.id, evidence=why.value
         )
 
     def trusted(self, minion: Minion) -> None:
-        """A suspected minion has ended a run well."""
+        """Record that a suspected minion has completed a run."""
         log_message("brasstray:minion_trusted", minion=minion.entry.id)
 
     def reach_changed(self, minion: Minion) -> None:
-        """A minion came into reach or went out of it."""
+        """Record that the reachability of a minion has changed."""
         log_message(
             "brasstray:minion_reach",
             minion=minion.entry.id,
@@ -175,19 +175,19 @@
         )
 
     def forwarded(self, step: StepTasks, count: int, pool: str) -> None:
-        """Tasks were forwarded to a pool that has free capacity."""
+        """Record that tasks were forwarded to a pool with free capacity."""
         self._metrics.count_reason("forwarded")
         log_message("brasstray:forwarded", job=step.batch, tasks=count, pool=pool)
 
     def evacuated_tasks(self, step: StepTasks, count: int, pool: str) -> None:
-        """Tasks were sent to another pool, as their own is evacuated."""
+        """Record that tasks were sent to another pool, as theirs is evacuated."""
         self._metrics.count_reason("evacuated_tasks")
         log_message("brasstray:evacuated_tasks", job=step.batch, tasks=count, pool=pool)
 
     def rejected(
         self, step: StepTasks, count: int, wait_ms: int, *, evacuated: bool
     ) -> None:
-        """Tasks were refused, as they could not end before their caller leaves."""
+        """Record that tasks were refused, as they could not end before the timeout."""
         self._metrics.count_reason("evacuated" if evacuated else "rejected")
         log_message(
             "brasstray:rejected",
@@ -198,7 +198,7 @@
         )
 
     def dropped(self, step: StepTasks, why: str) -> None:
-        """The tasks of a step are not wanted any more."""
+        """Record that the tasks of a step are no longer needed."""
         self._metrics.count_reason(f"dropped_{why}")
         log_message(
             "brasstray:dropped", job=step.batch, tasks=len(step.tasks), reason=why
@@ -207,39 +207,39 @@
     # The host
 
     def config_adopted(self, version: ConfigVersion, source: str) -> None:
-        """A newer configuration is in force here."""
+        """Record that a newer configuration is in force."""
         log_message("brasstray:config_adopted", version=version, source=source)
 
     def config_wanted(self, host: str, version: ConfigVersion, known: int) -> None:
-        """A host that has a newer configuration is asked for it."""
+        """Record that a newer configuration is requested from a host."""
         self._metrics.count_reason("config_wanted")
         log_message("brasstray:config_wanted", host=host, version=version, known=known)
 
     def config_not_told(self, host: str, version: ConfigVersion, known: int) -> None:
-        """That host has sent no further part in time."""
+        """Record that the host sent no further part before the timeout."""
         self._metrics.count_reason("config_not_told")
         log_message(
             "brasstray:config_not_told", host=host, version=version, known=known
         )
 
     def config_told(self, host: str, version: ConfigVersion, size: int) -> None:
-        """A host has been sent the last of the `size` bytes of a configuration."""
+        """Record that all `size` bytes of a configuration were sent to a host."""
         self._metrics.count_reason("config_told")
         self._metrics.count_config_bytes("told", size)
         log_message("brasstray:config_told", host=host, version=version, bytes=size)
 
     def config_unneeded(self, source: str, size: int) -> None:
-        """Text of `size` bytes was received that is of no use."""
+        """Record that `size` bytes of text were received and discarded."""
         self._metrics.count_reason("config_unneeded")
         self._metrics.count_config_bytes("unneeded", size)
         log_message("brasstray:config_unneeded", source=source, bytes=size)
 
     def config_unreadable(self, source: str, why: str) -> None:
-        """A configuration was not understood; the last one stays in force."""
+        """Record that a configuration cannot be parsed; the last one stays in force."""
         log_message("brasstray:config_unreadable", source=source, reason=why)
 
     def evacuations_changed(self, found: EvacuationSet, source: str) -> None:
-        """Another set of data centres gets nothing new."""
+        """Record that the set of evacuated data centres has changed."""
         self._metrics.count_reason("evacuations_changed")
         log_message(
             "brasstray:evacuations_changed",
@@ -249,14 +249,14 @@
         )
 
     def request_refused(self, job: str, reason: GiveUpReason, detail: str) -> None:
-        """A request was refused before anything was done for it."""
+        """Record that a request was refused before any task of it was queued."""
         self._metrics.count_reason(reason.value)
         log_message(
             "brasstray:refused", job=job, reason=reason.value, detail=detail[:200]
         )
 
     def entry_ignored(self, name: str, why: str) -> None:
-        """An entry of the store is without effect; told when the reason changes."""
+        """Record an ignored entry of the store; log it when the reason changes."""
         if self._ignored.get(name) == why:
             return
         if len(self._ignored) >= MOST_IGNORED:
@@ -266,72 +266,72 @@
         log_message("brasstray:entry_ignored", name=name, reason=why[:200])
 
     def history_lost(self, what: str) -> None:
-        """The store has dropped its history; everything is read again."""
+        """Record that the store has discarded its history and is read in full."""
         log_message("brasstray:history_lost", what=what)
 
     def store_lost(self, what: str, why: str) -> None:
-        """The store gave no answer for `what`; told once until it is back."""
+        """Record a failed request for `what` to the store; log it once per outage."""
         self._metrics.count_reason("store_unavailable")
         if what not in self._lost:
             self._lost.add(what)
             log_message("brasstray:store_lost", what=what, reason=why)
 
     def store_back(self, what: str) -> None:
-        """The store answers for `what` again."""
+        """Record that the store answers requests for `what` again."""
         if what in self._lost:
             self._lost.discard(what)
             log_message("brasstray:store_back", what=what)
 
     def pool_taken(self, pool: PoolId, token: FencingToken, why: str) -> None:
-        """This host owns a pool."""
+        """Record that this host owns a pool."""
         self._metrics.count_reason("pool_taken")
         log_message("brasstray:pool_taken", pool=pool, token=token, reason=why)
 
     def pool_moving(self, pool: PoolId, to: HostName) -> None:
-        """This host asks a stronger one to take the pool."""
+        """Record that a host with more power is asked to take the pool."""
         self._metrics.count_reason("pool_moving")
         log_message("brasstray:pool_moving", pool=pool, to=to)
 
     def pool_left(self, pool: PoolId, token: FencingToken, why: str) -> None:
-        """This host owns a pool no more."""
+        """Record that this host no longer owns a pool."""
         log_message("brasstray:pool_left", pool=pool, token=token, reason=why)
 
     def pool_claim_failed(self, pool: PoolId, why: str) -> None:
-        """Another host took the pool first, or the store gave no answer."""
+        """Record that another host was faster, or that the store gave no answer."""
         log_message("brasstray:pool_claim_failed", pool=pool, reason=why)
 
     def link_up(self, pool: PoolId, host: str) -> None:
-        """The owner of a pool is reachable."""
+        """Record that the owner of a pool is reachable."""
         log_message("brasstray:owner_reached", pool=pool, host=host)
 
     def link_down(self, pool: PoolId, host: str, why: str) -> None:
-        """The owner of a pool is unreachable."""
+        """Record that the owner of a pool is unreachable."""
         log_message("brasstray:owner_lost", pool=pool, host=host, reason=why)
 
     def requester_up(self, host: str) -> None:
-        """A host has opened a link to this one."""
+        """Record that a host has opened a link to this one."""
         log_message("brasstray:requester_reached", host=host)
 
     def requester_lost(self, host: str, why: str) -> None:
-        """A host that asked for tasks is unreachable."""
+        """Record that a host that requested tasks is unreachable."""
         log_message("brasstray:requester_lost", host=host, reason=why)
 
     def loop_late(self, milliseconds: int) -> None:
-        """This process came to a timer late, as it had too much to do."""
+        """Record that the event loop of this process lagged by too much."""
         self._metrics.count_reason("loop_late")
         log_message("brasstray:loop_late", milliseconds=milliseconds)
 
     def suspended(self, milliseconds: int) -> None:
-        """This process was suspended and no longer trusts what it knew."""
+        """Record that this process was suspended and discards what it knew."""
         log_message("brasstray:suspended", milliseconds=milliseconds)
 
     def draining(self) -> None:
-        """This host finishes what it has and leaves."""
+        """Record that this host is draining: it finishes its jobs and leaves."""
         log_message("brasstray:draining")
 
 
 def _run_fields(minion: Minion, record: RunRecord) -> dict[str, object]:
-    """Return what every line about a run names it by."""
+    """Return the fields that identify a run in a log line."""
     return {
         "job": record.name.batch,
         "task": f"{record.name.step}.{record.name.index}",
--- a/src/brasstray/host/gauges.py
+++ b/src/brasstray/host/gauges.py
@@ -1,4 +1,4 @@
-"""Show at each scrape what a host has at that moment."""
+"""Register gauges that read the state of a host at each scrape."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def observe_host(metrics: PoolMetrics, host: PoolHost) -> None:
-    """Add the gauges of `host` to `metrics`."""
+    """Register the gauges of `host` in `metrics`."""
 
     def jobs() -> Mapping[str, float]:
         return {"active": host.coordinator.active}
--- a/src/brasstray/host/host_events.py
+++ b/src/brasstray/host/host_events.py
@@ -1,4 +1,4 @@
-"""Define who is told what a host comes to believe, for logs and counters."""
+"""Define the events of a host that are logged and counted."""
 
 from __future__ import annotations
 
@@ -12,79 +12,79 @@
 
 
 class HostEvents(Protocol):
-    """Receive changes; never blocks."""
+    """Receive the events of a host; no method may block."""
 
     def config_adopted(self, version: ConfigVersion, source: str) -> None:
-        """A newer configuration is in force here."""
+        """Record that a newer configuration is in force."""
 
     def config_wanted(self, host: str, version: ConfigVersion, known: int) -> None:
-        """A host that has a newer configuration is asked for it.
+        """Record that a newer configuration is requested from a host.
 
-        `known` is how many bytes of its text are here already.
+        `known` is the number of bytes of its text that were received already.
         """
 
     def config_not_told(self, host: str, version: ConfigVersion, known: int) -> None:
-        """That host has sent no further part in time."""
+        """Record that the host sent no further part before the timeout."""
 
     def config_told(self, host: str, version: ConfigVersion, size: int) -> None:
-        """A host has been sent the last of the `size` bytes of a configuration."""
+        """Record that all `size` bytes of a configuration were sent to a host."""
 
     def config_unneeded(self, source: str, size: int) -> None:
-        """Text of `size` bytes was received that is of no use."""
+        """Record that `size` bytes of text were received and discarded."""
 
     def config_unreadable(self, source: str, why: str) -> None:
-        """A configuration was not understood; the last one stays in force."""
+        """Record that a configuration cannot be parsed; the last one stays in force."""
 
     def evacuations_changed(self, found: EvacuationSet, source: str) -> None:
-        """Another set of data centres gets nothing new."""
+        """Record that the set of evacuated data centres has changed."""
 
     def request_refused(self, job: str, reason: GiveUpReason, detail: str) -> None:
-        """A request was refused before anything was done for it."""
+        """Record that a request was refused before any task of it was queued."""
 
     def entry_ignored(self, name: str, why: str) -> None:
-        """An entry of the store is another writer's, and without effect."""
+        """Record that an invalid entry of the store is ignored."""
 
     def history_lost(self, what: str) -> None:
-        """The store has dropped its history; everything is read again."""
+        """Record that the store has discarded its history and is read in full."""
 
     def store_lost(self, what: str, why: str) -> None:
-        """The store gave no answer for `what`; told once until it is back."""
+        """Record a failed request for `what` to the store; log it once per outage."""
 
     def store_back(self, what: str) -> None:
-        """The store answers for `what` again."""
+        """Record that the store answers requests for `what` again."""
 
     def pool_taken(self, pool: PoolId, token: FencingToken, why: str) -> None:
-        """This host owns a pool."""
+        """Record that this host owns a pool."""
 
     def pool_moving(self, pool: PoolId, to: HostName) -> None:
-        """This host asks a stronger one to take the pool."""
+        """Record that a host with more power is asked to take the pool."""
 
     def pool_left(self, pool: PoolId, token: FencingToken, why: str) -> None:
-        """This host owns a pool no more."""
+        """Record that this host no longer owns a pool."""
 
     def pool_claim_failed(self, pool: PoolId, why: str) -> None:
-        """Another host took the pool first, or the store gave no answer."""
+        """Record that another host was faster, or that the store gave no answer."""
 
     def link_up(self, pool: PoolId, host: str) -> None:
-        """The owner of a pool is reachable."""
+        """Record that the owner of a pool is reachable."""
 
     def link_down(self, pool: PoolId, host: str, why: str) -> None:
-        """The owner of a pool is unreachable."""
+        """Record that the owner of a pool is unreachable."""
 
     def requester_up(self, host: str) -> None:
-        """A host has opened a link to this one."""
+        """Record that a host has opened a link to this one."""
 
     def requester_lost(self, host: str, why: str) -> None:
-        """A host that asked for tasks is unreachable."""
+        """Record that a host that requested tasks is unreachable."""
 
     def loop_late(self, milliseconds: int) -> None:
-        """This process came to a timer late, as it had too much to do."""
+        """Record that the event loop of this process lagged by too much."""
 
     def suspended(self, milliseconds: int) -> None:
-        """This process was suspended and no longer trusts what it knew."""
+        """Record that this process was suspended and discards what it knew."""
 
     def draining(self) -> None:
-        """This host finishes what it has and leaves."""
+        """Record that this host is draining: it finishes its jobs and leaves."""
 
 
 __all__ = ["HostEvents"]
--- a/src/brasstray/host/host_status.py
+++ b/src/brasstray/host/host_status.py
@@ -1,4 +1,4 @@
-"""Describe for operators what a host does and believes."""
+"""Report the state of a host to operators."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class MinionStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a minion of the pool; free room in thousandths of a core and megabytes."""
+    """Hold the state of a minion; free CPU is in thousandths of a core."""
 
     id: MinionId
     reach: str
@@ -33,11 +33,11 @@
 
 
 class OwnedPoolStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the pool that the host owns.
+    """Hold the state of the pool that the host owns.
 
-    `recovered` tells whether it is known what its minions run; nothing starts before.
-    `confirmed_ms_ago` is how old the store's last word is that the host owns the pool;
-    while the store is away, another host may have taken it since.
+    `recovered` is true once it is known what the minions run; no task starts before.
+    `confirmed_ms_ago` is the time since the store last confirmed the ownership; while
+    the store is unavailable, another host may have taken the pool since then.
     """
 
     pool: PoolId
@@ -50,10 +50,10 @@
 
 
 class OwnerStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold the owner of a pool as the host knows it.
+    """Hold the owner of a pool as far as the host knows.
 
-    `in_reach` is None where no link is open, since no task of this host is there or
-    since it is only being opened.
+    `in_reach` is None while no link to the owner is open: this host has no tasks in the
+    pool, or the link is still being opened.
     """
 
     pool: PoolId
@@ -63,10 +63,10 @@
 
 
 class EvacuationStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold which data centres get nothing new, and how that is known.
+    """Hold which data centres are evacuated, and where that was learned.
 
-    `as_of` is the store's version that it was read at, 0 if nobody has told; `source`
-    is the store, or the host that has read it.
+    `as_of` is the store version at which the set was read, 0 if it was never received;
+    `source` is the store, or the host that sent the set.
     """
 
     data_centres: tuple[DataCentreName, ...]
@@ -76,7 +76,7 @@
 
 
 class HostStatus(msgspec.Struct, frozen=True, kw_only=True):
-    """Hold a host's role, its versions and its peers."""
+    """Hold the state of a host: its pool, versions and peers."""
 
     host: HostName
     incarnation: IncarnationId
@@ -90,13 +90,13 @@
 
 
 async def current_status(host: PoolHost) -> HostStatus:
-    """Return what operators see of `host` now, after the store was asked."""
+    """Return the status of `host` after confirming its ownership with the store."""
     await host.confirm_owned()
     return host_status(host)
 
 
 def host_status(host: PoolHost) -> HostStatus:
-    """Return what operators see of `host`."""
+    """Return the status of `host` as it is known without asking the store."""
     owner = host.owner
     unasked = host.unasked
     return HostStatus(
--- a/src/brasstray/host/identity.py
+++ b/src/brasstray/host/identity.py
@@ -1,4 +1,4 @@
-"""Say who a host is and where its peers reach it."""
+"""Identify a host and the address at which peers reach it."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 @dataclass(frozen=True)
 class HostIdentity:
-    """Hold the names and the peer address of one incarnation of a host.
+    """Hold the names and the peer address of an incarnation of a host.
 
     `power` is the share of a core that it has, times the core's speed.
     """
--- a/src/brasstray/host/minion_feed.py
+++ b/src/brasstray/host/minion_feed.py
@@ -1,4 +1,4 @@
-"""Keep the owner of a pool, and its possible successors, informed of its minions."""
+"""Keep the owner of a pool and its possible successors informed of its minions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class MinionFeed:
-    """Read the list of minions for an owner, and remember whom the last owner held."""
+    """Poll the list of minions for an owner, and keep the last owner's minions."""
 
     def __init__(
         self,
@@ -44,20 +44,20 @@
 
     @property
     def held(self) -> tuple[MinionEntry, ...] | None:
-        """Return the minions that the pool's owner held last; None if nobody told."""
+        """Return the minions that the pool's last owner held; None if unknown."""
         return self._held
 
     def hear(self, minions: tuple[MinionEntry, ...]) -> None:
-        """Record the minions that another owner of the pool holds."""
+        """Record the minions that another host holds as the owner of the pool."""
         self._held = minions
 
     def tell(self, link: RequesterLink) -> None:
-        """Tell a host that may take the pool over which minions it has."""
+        """Send the minions of the pool to a host that may take the pool over."""
         if link.data_centre == self._data_centre and self._held is not None:
             link.tell(PoolMinions(minions=self._held))
 
     async def follow(self, owner: PoolOwner) -> None:
-        """Read the list for `owner` again and again, until cancelled."""
+        """Poll the list for `owner` until cancelled."""
         while True:
             try:
                 listed = await self._list.minions(self._data_centre)
--- a/src/brasstray/host/operator_feed.py
+++ b/src/brasstray/host/operator_feed.py
@@ -1,4 +1,4 @@
-"""Follow what operators write into the store."""
+"""Watch the entries that operators write to the store."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class OperatorFeed:
-    """Tell the configuration and the evacuations of what the store has."""
+    """Update the configuration and the evacuations from the store."""
 
     def __init__(
         self,
@@ -36,7 +36,7 @@
         self._events = events
 
     async def follow(self) -> None:
-        """Follow the store until cancelled."""
+        """Watch the store until cancelled."""
         await follow_store(
             "configuration",
             self._learn_after,
@@ -52,7 +52,7 @@
             self._config.note_store(answers=False)
             raise
         self._config.note_store(answers=True)
-        # Evacuations first: a configuration that cannot be read must not hide them.
+        # Evacuations first: they must apply even if the configuration cannot be read.
         self._evacuations.learn(found, whole=as_of is None)
         if found.unreadable is not None:
             self._events.config_unreadable("store", found.unreadable)
--- a/src/brasstray/host/operator_knowledge.py
+++ b/src/brasstray/host/operator_knowledge.py
@@ -1,4 +1,4 @@
-"""Join what a host knows of the operators' wishes."""
+"""Combine the configuration and the evacuations that operators have set."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
 
 
 class OperatorKnowledge:
-    """Learn the configuration and the evacuations from the store and other hosts."""
+    """Keep the configuration and the evacuations up to date with store and peers."""
 
     def __init__(
         self,
@@ -52,11 +52,11 @@
 
     @property
     def evacuations(self) -> Evacuations:
-        """Return the data centres that get nothing new."""
+        """Return the evacuated data centres."""
         return self._evacuations
 
     async def run(self) -> None:
-        """Learn until cancelled."""
+        """Watch the store and fetch from other hosts, until cancelled."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._feed.follow)
             group.start_soon(self._exchange.run)
@@ -67,7 +67,7 @@
         message: Hello | Ping | PoolState,
         tell: Callable[[PoolMessage], None],
     ) -> None:
-        """Take what `host`, reached by `tell`, knows."""
+        """Take over what is newer on `host`; `tell` sends a message to it."""
         self._evacuations.adopt(message.evacuations, host)
         self._exchange.hear(host, message.config_version, tell)
 
@@ -77,7 +77,7 @@
         message: ConfigWanted | ConfigPart,
         tell: Callable[[PoolMessage], None],
     ) -> None:
-        """Take a question or a part of a configuration from `host`."""
+        """Handle a request for a configuration, or a part of one, from `host`."""
         self._exchange.take(host, message, tell)
 
 
--- a/src/brasstray/host/operator_source.py
+++ b/src/brasstray/host/operator_source.py
@@ -1,4 +1,4 @@
-"""Define where the operators' entries and lists of minions come from."""
+"""Define the sources of operators' entries and of lists of minions."""
 
 from __future__ import annotations
 
@@ -14,15 +14,16 @@
 
 
 class UnreadableConfigError(Exception):
-    """A configuration could not be understood; the last one stays in force."""
+    """Report a configuration that cannot be parsed; the last one stays in force."""
 
 
 @dataclass(frozen=True)
 class OperatorEntries:
-    """Hold what operators wrote, and the store's version that it was seen at.
+    """Hold entries that operators wrote, and the store version that they reflect.
 
-    A read tells every data centre that is `evacuated`, a wait those that came since and
-    those `resumed` since. `unreadable` says why a new configuration was not understood.
+    After a read, `evacuated` holds all evacuated data centres; after a wait, only those
+    evacuated since, and `resumed` those resumed since. `unreadable` is the reason why a
+    new configuration could not be parsed.
     """
 
     configuration: Configuration | None
@@ -33,13 +34,13 @@
 
 
 class OperatorSource(Protocol):
-    """Read what operators write; every method may raise a StoreError."""
+    """Read entries that operators write; every method may raise a StoreError."""
 
     async def read(self) -> OperatorEntries:
-        """Return everything."""
+        """Return all entries."""
 
     async def wait(self, after: int, wait: timedelta) -> OperatorEntries:
-        """Return the next changes after a version, or none after `wait`."""
+        """Return the next changes after version `after`, or none after `wait`."""
 
     def parse(self, text: bytes) -> Configuration:
         """Return the configuration in `text`; raise UnreadableConfigError."""
--- a/src/brasstray/host/store_follower.py
+++ b/src/brasstray/host/store_follower.py
@@ -1,4 +1,4 @@
-"""Follow entries of the store through its outages."""
+"""Watch entries of the store, and retry after its failures."""
 
 from __future__ import annotations
 
@@ -21,12 +21,12 @@
     pause: timedelta,
     events: HostEvents,
 ) -> None:
-    """Have `learn_after` learn what came after a version, again and again.
+    """Call `learn_after` in a loop with the last store version that it returned.
 
-    It is given None to read everything, and returns the version reached. What was read
-    is not read again after a failed call. Guards against hosts that fetch a large text
-    with each try while the store, or the way there, fails again and again; and, by the
-    pause, against a store that loses its history faster than hosts ask for it.
+    It is called with None to read everything, and returns the version that it reached.
+    The version is kept after a failed call, so that hosts don't fetch a large text with
+    each retry while the store or the network fails repeatedly. The pause limits the
+    load on a store that discards its history faster than hosts can read it.
     """
     as_of: int | None = None
     while True:
