--- a/tests/host/conftest.py
+++ b/tests/host/conftest.py
@@ -1,4 +1,4 @@
-"""Play stories of hosts and leased minions on a virtual clock."""
+"""Run scenarios of hosts and leased minions on a virtual clock."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 @pytest.fixture
 def play_pools():
-    """Return a function that runs a story in a settled system and ends the system."""
+    """Return a function that runs a scenario in a settled system, then stops it."""
 
     def run(story, size=None, seed=1, schedule=SCHEDULE_SEED):
         async def whole():
--- a/tests/host/test_config_fetch.py
+++ b/tests/host/test_config_fetch.py
@@ -1,4 +1,4 @@
-"""Check how a host fetches a newer configuration from others."""
+"""Check how a host fetches a newer configuration from other hosts."""
 
 from __future__ import annotations
 
@@ -32,7 +32,7 @@
 
 
 class Notes:
-    """Note the names of what happens."""
+    """Record the events of a host."""
 
     def __init__(self):
         self.seen = []
@@ -45,7 +45,7 @@
 
 
 class Store:
-    """Answer each question with the next of `answers`, and wait for ever after them.
+    """Answer each request with the next of `answers`, and block after the last.
 
     An answer is a version, None for no change, or an error.
     """
@@ -80,7 +80,7 @@
 
 
 class Peer:
-    """Answer for one host with parts, at most `answers` times."""
+    """Answer at most `answers` requests to one host with parts."""
 
     def __init__(self, fetch, name, version, answers=1_000, delay=0.01):
         self.fetch, self.name, self.answers, self.delay = fetch, name, answers, delay
@@ -101,7 +101,7 @@
 
 
 def play(story, store=None):
-    """Return what `story` returns of a fetch, its configuration and its notes."""
+    """Run `story` with a fetch, its configuration and its events; return its result."""
 
     async def whole():
         notes, clock = Notes(), LoopClock()
@@ -117,8 +117,8 @@
 
 
 def test_a_text_is_asked_for_once_however_often_its_version_is_told():
-    # Heartbeats name the newer version all the time while the text is on its way over
-    # a slow link. Each of them used to bring another whole text.
+    # Heartbeats keep naming the newer version while its text is in transit over a slow
+    # link. Each of them used to cause another transfer of the whole text.
     async def story(fetch, config, notes, group):
         peer = Peer(fetch, "a", 2, delay=0.3)
         for _ in range(20):
@@ -132,7 +132,7 @@
 
 
 def test_the_store_is_given_time_to_bring_the_change():
-    # An owner tells of a version that the store is about to tell everybody of.
+    # A heartbeat names a version that the store is about to deliver to every host.
     async def story(fetch, config, notes, group):
         peer = Peer(fetch, "a", 2)
         peer.offer(group)
@@ -145,7 +145,7 @@
 
 
 def test_another_host_goes_on_where_the_first_one_fell_silent():
-    # The host that is asked dies after two parts. What has come is not fetched again.
+    # The first host fails after two parts. Received parts are not fetched again.
     async def story(fetch, config, notes, group):
         first, second = Peer(fetch, "a", 2, answers=2), Peer(fetch, "b", 2)
         first.offer(group)
@@ -190,7 +190,7 @@
 
 
 def test_a_text_that_cannot_be_read_is_not_fetched_again():
-    # Every heartbeat still names it, and every fetch would end the same way.
+    # Every heartbeat still names the version, and every fetch of it would fail again.
     async def story(fetch, config, notes, group):
         peers = [Peer(fetch, "a", 9), Peer(fetch, "b", 9)]
         for _ in range(10):
@@ -203,7 +203,7 @@
 
 
 def test_an_old_answer_takes_no_change_back():
-    # A part that was late arrives after a newer configuration is in force.
+    # A delayed part arrives after a newer configuration is in force.
     async def story(fetch, config, notes, group):
         config.adopt(configuration(3), "store")
         old = configuration(2, size=100)
@@ -226,7 +226,7 @@
     ],
 )
 def test_the_store_is_read_in_full_only_where_nothing_else_helps(answers, reads):
-    # While the store fails again and again, each try used to begin with the whole text:
+    # While the store fails repeatedly, each retry used to read the whole text again:
     # hundreds of kilobytes for every host, seven times a second.
     store = Store(*answers)
 
--- a/tests/host/test_evacuation.py
+++ b/tests/host/test_evacuation.py
@@ -1,7 +1,7 @@
-"""Check that an evacuated data centre gets nothing new and its callers are served.
+"""Check that an evacuated data centre starts no tasks and its callers are served.
 
-Operators empty a data centre before work on it. What runs there may end; what begins
-there later than the users' bound would be cut off by that work.
+Operators evacuate a data centre before maintenance. Running tasks may finish; a task
+that starts there later than the users' bound would be interrupted by the maintenance.
 """
 
 from __future__ import annotations
@@ -23,7 +23,7 @@
 
 SECOND = timedelta(seconds=1)
 # The users' bound on starts after an evacuation was acknowledged. Owners that the store
-# turns away have 6 s more, which hosts that hear of it from one another do not need.
+# refuses have 6 s more, which hosts don't need as they inform one another.
 BOUND = 5 * SECOND
 THREE_CENTRES = PoolSystemSize(data_centres=3)
 
@@ -60,7 +60,7 @@
 
 
 async def strike_silent_watches(system):
-    # Each host gives its watch up after 1.9 s, and a new connection works.
+    # Each host abandons its watch after 1.9 s, and a new connection works.
     system.store.silent_watches.update(system.hosts)
     await system.clock.sleep(ms(1_900))
     system.store.silent_watches.clear()
@@ -100,10 +100,9 @@
 @pytest.mark.parametrize("moment", [-300, 0, 300])
 @pytest.mark.parametrize("strike", STRIKES.values(), ids=STRIKES.keys())
 def test_nothing_starts_in_an_evacuated_data_centre(play_pools, strike, moment):
-    # An operator empties a data centre, and begins her work on it when the bound has
-    # passed: a task that starts there later is cut off. Around the same moment the host
-    # that orders the minions there dies, or is turned away by the store, or hears
-    # nothing any more on the connection on which it would learn of it.
+    # A task that starts after the bound would be interrupted by maintenance. Around the
+    # time of the evacuation the owner of the pool is killed, drained or refused by the
+    # store, or its watch of the store goes silent, so that it may miss the evacuation.
     async def story(system):
         async with anyio.create_task_group() as group:
             load = Load(system, group)
@@ -127,8 +126,8 @@
 
 
 def test_callers_of_an_evacuated_data_centre_are_served_elsewhere(play_pools):
-    # Half of the minions are emptied, and the others have room for all: no caller
-    # notices, neither those whose tasks run at that moment nor those who come later.
+    # Half of the minions are evacuated, and the others have capacity for all jobs. No
+    # caller is affected, whether its tasks are running then or it submits later.
     async def story(system):
         async with anyio.create_task_group() as group:
             load = Load(system, group)
@@ -143,9 +142,9 @@
 
 
 def test_what_waits_goes_to_another_data_centre_at_once(play_pools):
-    # Every place of a data centre is taken by long tasks, and a job waits there, as no
-    # other has room either. The data centre is emptied, and soon another one has room:
-    # the job must not go on waiting for places that it will never get.
+    # All slots of a data centre are taken by long tasks, and a job is queued there, as
+    # the other one is full too. The data centre is evacuated, and later the other one
+    # has free slots: the job must not stay queued for slots that it will never get.
     size = PoolSystemSize(data_centres=2, hosts_each=2, minions_each=1)
 
     async def story(system):
@@ -175,8 +174,8 @@
 
 
 def test_jobs_are_refused_at_once_if_every_data_centre_is_evacuated(play_pools):
-    # Nothing can be done for a caller until operators take an evacuation back: she is
-    # told so at once, truthfully, and when to come back.
+    # No task can start until operators revoke an evacuation. Callers are refused at
+    # once, with the outcome "not run" and the time after which to retry.
     async def story(system):
         system.evacuate("dc0")
         system.evacuate("dc1")
@@ -198,7 +197,7 @@
 
 
 def test_a_data_centre_is_used_again_within_a_second(play_pools):
-    # Half of the minions come back while the others are full: callers get them at once.
+    # Half of the minions come back while the others are full, and are used at once.
     async def story(system):
         system.evacuate("dc0")
         async with anyio.create_task_group() as group:
@@ -214,8 +213,8 @@
 
 
 def test_hosts_that_were_all_restarted_know_of_an_evacuation(play_pools):
-    # All hosts lose power while a data centre is empty. None of them remembers it, and
-    # a set of evacuated data centres that was not read yet is not an empty one.
+    # All hosts are killed while a data centre is evacuated, so none remembers it. A set
+    # of evacuated data centres that was not read yet must not count as an empty set.
     async def story(system):
         system.evacuate("dc0")
         await system.clock.sleep(SECOND)
@@ -241,8 +240,8 @@
     [("nowhere", b"{}"), ("", b"{}"), ("dc0/dc1", b"{}"), ("dc0", b"["), ("dc0", b"3")],
 )
 def test_an_entry_of_another_writer_evacuates_nothing(play_pools, centre, value):
-    # Something else has written under the operators' names: a data centre that does not
-    # exist, or a value that cannot be read. Nobody has asked for an evacuation.
+    # Another program has written an entry under the operators' prefix: its data centre
+    # does not exist, or its value cannot be parsed. It must not cause an evacuation.
     async def story(system):
         system.evacuate(centre, value)
         await system.clock.sleep(SECOND)
@@ -259,9 +258,9 @@
 
 @pytest.mark.parametrize("seed", range(12))
 def test_no_start_breaks_the_bound_whatever_else_happens(play_pools, seed):
-    # Data centres are emptied and taken back at random, while owners are killed, hosts
-    # are refused by the store for a while and watches go silent. Any start beyond the
-    # bound would be in a data centre that operators believe to be empty.
+    # Data centres are evacuated and resumed at random, while owners are killed, the
+    # store refuses hosts for a while or compacts its history, and watches go silent.
+    # A start after the bound would be in a data centre that operators believe empty.
     random = Random(seed)
 
     async def emptied(system, centre, spans):
--- a/tests/host/test_evacuations.py
+++ b/tests/host/test_evacuations.py
@@ -1,4 +1,4 @@
-"""Check which set of evacuated data centres a host takes for the truth."""
+"""Check which set of evacuated data centres a host adopts."""
 
 from __future__ import annotations
 
@@ -49,16 +49,16 @@
         ([whole(5), change(6, "a")], 6, "a"),
         ([whole(5, "a"), change(6, "b"), change(8, "", "a")], 8, "b"),
         ([whole(5), told(7, "a")], 7, "a"),
-        # What another host has read earlier takes no newer change back.
+        # A set that another host read earlier does not revert a newer change.
         ([whole(5, "a"), change(9, "", "a"), told(8, "a")], 9, ""),
         ([whole(5), change(9, "a"), told(8)], 9, "a"),
-        # The store brings what another host has told already, and something newer.
+        # The store delivers a change that another host has sent already, then a newer.
         ([whole(5), told(7, "a"), change(6, "a")], 7, "a"),
         ([whole(5), told(7, "a"), change(8, "ab")], 8, "ab"),
         ([whole(5, "a"), told(7), change(7, "", "a")], 7, ""),
-        # The history was lost: the whole set is read again.
+        # After the store has lost its history, the whole set is read again.
         ([whole(5, "a"), whole(9, "b")], 9, "b"),
-        # A data centre that is not known.
+        # Unknown data centres are ignored.
         ([whole(5, "x", "a"), change(6, "y")], 6, "a"),
     ],
 )
--- a/tests/host/test_host_status.py
+++ b/tests/host/test_host_status.py
@@ -1,4 +1,4 @@
-"""Check what operators are shown of a host."""
+"""Check the status of a host that operators see."""
 
 from __future__ import annotations
 
@@ -23,8 +23,8 @@
         assert status.host == name
         assert status.state == "ready"
         assert status.config_version == 1
-        # Owners tell one another of their room; other hosts have no link to a pool
-        # that has no task of theirs.
+        # Owners exchange their load over links; other hosts have no link to a pool
+        # that has none of their tasks.
         assert {one.pool: one.in_reach for one in status.owners} == {
             "dc0": True,
             "dc1": True if name == owner else None,
@@ -70,10 +70,10 @@
     assert state == "draining"
 
 
-# Two hosts, asked one after the other, both said that they own the pool, the second
-# with the next token. The first was late: another had taken its pool, and it was asked
-# before it had read of that. What it says of itself rested on the last that it had
-# heard, however old; where the answer to its watch of the store was lost, for seconds.
+# Two hosts, asked one after the other, both reported that they own the pool, the second
+# with the next token. Another host had taken the pool from the first, whose status came
+# from the last record that it had read, however old: seconds old where the answer to
+# its watch of the store was lost. The status must confirm the ownership first.
 @pytest.mark.parametrize("watch", ["just told", "silent"])
 def test_a_host_whose_pool_was_taken_does_not_say_that_it_owns_it(play_pools, watch):
     async def story(system):
@@ -93,8 +93,8 @@
 
 @pytest.mark.parametrize(("away", "least", "most"), [(0, 0, 0), (3_000, 2_900, 5_000)])
 def test_an_owner_says_how_old_the_confirmation_is(play_pools, away, least, most):
-    # While the store is away nobody can say who has taken the pool meanwhile: the owner
-    # goes on, and its status tells for how long it has not been confirmed.
+    # While the store is unavailable, the owner cannot know whether another host has
+    # taken the pool. It goes on, and its status reports the age of the confirmation.
     async def story(system):
         owner = system.owner()
         if away:
--- a/tests/host/test_large_configuration.py
+++ b/tests/host/test_large_configuration.py
@@ -1,4 +1,4 @@
-"""Check that a large configuration comes into force while hosts go on serving."""
+"""Check that a large configuration comes into force without an interruption."""
 
 from __future__ import annotations
 
@@ -12,18 +12,18 @@
 from brasstray_standins.pool_system import PoolSystemSize
 
 SECOND = timedelta(seconds=1)
-# Bytes a second of the slowest links of a fleet.
+# Bytes per second of the slowest links of a fleet.
 NARROW = 12.5e6 / 8
-# 930, 1,440 and 2,740 routes as operators write them, in bytes.
+# Sizes in bytes of configurations with 930, 1,440 and 2,740 routes.
 LARGE, LARGER, LARGEST = 164_000, 254_000, 484_000
-# What a job of the load takes at the most where nothing is wrong, twice over.
+# Twice the longest time that a job of the load takes without faults.
 USUAL_TIME = SECOND / 4
-# Within which a change must be in force where the store tells of it.
+# Time within which a change is in force on hosts that the store notifies.
 IN_FORCE_AFTER = SECOND
-# What a host that the store turns away takes longer at the most, beside the time in
-# which the texts for all of them pass the link of their data centre's owner.
+# Additional time for hosts that the store refuses, apart from the time that the texts
+# for all of them take on the link of the owner of their data centre's pool.
 IN_FORCE_LATER = SECOND / 5
-# What heartbeats, jobs and ends take in the two seconds of the story, in bytes.
+# Bytes of heartbeats, jobs and run ends in the two seconds of the scenario.
 OTHER_TRAFFIC = 600_000
 
 
@@ -59,18 +59,18 @@
 def test_a_large_configuration_does_not_part_owners_from_hosts(
     play_pools, turned_away, strong_each, size
 ):
-    # Seen: from the moment at which the configuration grew by 888 routes, hosts took
-    # owners for lost, pools changed hands every second, and few callers were served for
-    # the rest of the day. Owners and hosts told one another the whole text with each
-    # heartbeat that still named an older version, the heartbeats behind the texts came
-    # too late, and each new owner and each new link began with the text again.
-    # Proved by: the store serves all hosts, the owners' links are eight times as fast,
-    # and they have the change first; or it turns some hosts away.
+    # After the configuration had grown by 888 routes, hosts considered owners lost,
+    # pools changed owners every second, and few callers were served for the rest of the
+    # day. Hosts had sent one another the whole text with each heartbeat that named an
+    # older version; heartbeats queued behind the texts and came too late, and each new
+    # owner and each new link sent the text again.
+    # Two setups: the store serves all hosts, and the owners have links that are eight
+    # times as fast and get the change first; or the store refuses some hosts.
     fleet = PoolSystemSize(3, 12, 8, strong_each, link_rate=NARROW)
 
     async def story(system):
         if strong_each:
-            # Pools that weak hosts took first go to strong ones.
+            # Pools that weak hosts took first move to strong ones.
             await system.clock.sleep(3 * SHORTEST_TENURE)
         before = tokens(system)
         away = turned_away(system)
@@ -93,7 +93,7 @@
 
     (load, before, after, found, away), system = play_pools(story, fleet)
     assert found["told"] == found["all"] == {2}
-    # One text to each host that cannot read it from the store, and none to others.
+    # One text is sent to each host that the store refuses, and none to others.
     assert found["sent"] <= away * size * 1.1 + OTHER_TRAFFIC
     assert after == before
     assert load.outcomes() == [BatchOutcome.SUCCEEDED] * 150
--- a/tests/host/test_lost_history.py
+++ b/tests/host/test_lost_history.py
@@ -1,4 +1,4 @@
-"""Check how often the store is asked when it keeps failing."""
+"""Check how often the store is called while it keeps failing."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 from brasstray_standins.memory_store import StoreView
 
 WATCHED = timedelta(seconds=3)
-# One try each 150 ms, of the configuration and of the pools, by each of six hosts.
+# One try per 150 ms for the configuration and for the pools, by each of six hosts.
 MOST_TRIES = 6 * 2 * (WATCHED / timedelta(milliseconds=150) + 1)
 
 
-# The store drops its history sooner than hosts come to ask for what came since. Each
-# watch fails at once, and each host reads everything again, without a pause: on a fleet
-# that alone is more than the store serves, so that no host learns of anything.
+# The store discards its history before hosts ask for the changes since their last read,
+# so each watch fails at once. If each host then read everything again without a pause,
+# a fleet would overload the store, and no host would receive any change.
 @pytest.mark.parametrize("error", [HistoryLostError, StoreUnavailableError])
 def test_a_store_whose_watches_all_fail_is_asked_with_pauses(
     play_pools, monkeypatch, error
@@ -43,5 +43,5 @@
     assert owned
     assert calls["watch"] <= MOST_TRIES
     if error is StoreUnavailableError:
-        # The list of minions is read twice a second by each of two owners.
+        # Each of two owners polls the list of minions twice a second.
         assert calls["snapshot"] <= 2 * (WATCHED / timedelta(milliseconds=500) + 1)
--- a/tests/host/test_pool_failures.py
+++ b/tests/host/test_pool_failures.py
@@ -1,7 +1,7 @@
-"""Check that jobs survive what befalls hosts, minions and the store.
+"""Check that jobs survive failures of hosts, minions and the store.
 
-In every story no task may be at work twice at the same time and no minion may be over
-its capacity: `system.book.broken` lists both.
+In every scenario, no task may run twice at the same time and no minion may exceed its
+capacity: `system.book.broken` lists violations of both rules.
 """
 
 from __future__ import annotations
@@ -48,9 +48,9 @@
 
 @pytest.mark.parametrize("fate", ["killed", "frozen", "cut off", "drained", "revoked"])
 def test_the_owner_of_a_pool_goes_away(play_pools, fate):
-    # An auditor's draw is at work when the host that orders the minions of her data
-    # centre dies, stands still, is cut off or leaves. Another host takes the pool over;
-    # runs go on under its lease and her job is answered as if nothing had been.
+    # The owner of a pool crashes, freezes, is partitioned, drains or loses its entry in
+    # the store while jobs run. Another host must take the pool over and extend the
+    # leases of the runs, so that jobs of callers at other hosts still succeed.
     async def story(system):
         async def strike():
             name = system.owner()
@@ -85,8 +85,8 @@
 
 
 def test_a_killed_owner_costs_its_data_centre_less_than_a_second(play_pools):
-    # The host that orders the minions is killed under load. Callers at the other hosts
-    # of its data centre wait a little longer for a short while.
+    # The owner is killed under load. Callers at the other hosts of its data centre may
+    # wait for the takeover, but no longer than a second in all.
     async def story(system):
         async def strike():
             system.kill(system.owner())
@@ -98,8 +98,8 @@
 
 
 def test_a_cut_off_data_centre_serves_its_own_callers(play_pools):
-    # The lines of one data centre fail: its hosts reach neither the store nor the
-    # others. Its managers are served by its own minions all the while.
+    # A data centre is partitioned from the store and from the other data centres. Its
+    # own minions must go on serving its callers.
     async def story(system):
         inside = {f"dc0-h{n}": 1 for n in range(3)}
 
@@ -118,9 +118,9 @@
 
 
 def test_the_owner_leaves_while_nobody_can_take_its_pool(play_pools):
-    # A data centre is cut off from the store just as the host that orders its minions
-    # is told to leave. If it left at once, nobody could take its place and all callers
-    # of the data centre would be refused; it stays until it has a successor.
+    # The store becomes unavailable just as the owner is told to drain. If it left at
+    # once, no host could take the pool over, and all callers of the data centre would
+    # be refused. It must stay until it has a successor.
     async def story(system):
         async def strike():
             system.store.down = True
@@ -141,8 +141,8 @@
 
 @pytest.mark.parametrize("seconds", [1, 4])
 def test_the_store_is_away(play_pools, seconds):
-    # The platform's store answers nobody for seconds. Owners go on under their tokens,
-    # since no minion has seen a higher one, and no caller notices.
+    # The store is unavailable for seconds. Owners go on with their fencing tokens, as
+    # no minion has seen a higher one, and no caller is affected.
     async def story(system):
         async def strike():
             system.store.down = True
@@ -157,9 +157,9 @@
 
 
 def test_the_host_that_a_job_came_to_dies_and_the_job_is_sent_again(play_pools):
-    # A manager's request breaks off as her entry host is killed. Her client sends it
-    # again 1.3 s later to another host. By then nothing of the first try may be at
-    # work, or her leave would be deducted by two runs at once.
+    # A host is killed with a job running, and clients resubmit such a job to another
+    # host 1.3 s later. By then no task of the first try may still run, or the same task
+    # would run twice at the same time.
     async def story(system):
         system.book.usual = Work(USUAL_NEEDS, ms(2_500))
         name = system.other()
@@ -177,9 +177,9 @@
 
 
 def test_a_frozen_host_wakes_and_its_callers_are_told_the_truth(play_pools):
-    # A host stands still for three seconds with jobs at work. The pool has stopped
-    # their tasks meanwhile. When it wakes, it must not start them again beside those
-    # that the clients have sent elsewhere, nor say that they did not run.
+    # A host freezes for three seconds with a job running, and the pool stops the tasks
+    # of that job. When it resumes, it must neither start them again beside the job that
+    # the client has resubmitted elsewhere, nor answer that they did not run.
     async def story(system):
         system.book.usual = Work(USUAL_NEEDS, ms(900))
         name = system.other()
@@ -205,9 +205,9 @@
     [("swallowed", 1), ("swallowed", 5), ("late", 1), ("late", 6)],
 )
 def test_answers_of_minions_are_lost_or_orders_come_late(play_pools, what, count):
-    # A minion does not answer a start. It has begun the task, or begins it seconds
-    # later, when the same task has long run elsewhere: it must be stopped, or be
-    # refused when it comes, before the task is started again.
+    # A minion does not answer a start: it has started the task, or starts it seconds
+    # later, after the task was retried elsewhere. The run must be stopped, or the late
+    # start must be refused, before the task starts again.
     async def story(system):
         async def strike():
             for running in system.hosts.values():
@@ -223,9 +223,9 @@
 
 @pytest.mark.parametrize("fate", ["crashed", "cut off", "stuck", "slow", "failing"])
 def test_a_minion_goes_wrong(play_pools, fate):
-    # One of four minions dies, is cut off, stands still, turns slow or fails all that
-    # it starts. Its tasks are run elsewhere once it is certain that they do not go on,
-    # and it gets no more until it has shown that it works.
+    # One of four minions crashes, is partitioned, hangs, becomes slow or fails every
+    # task. Its tasks must run elsewhere, once it is certain that their runs have ended,
+    # and it must get no more tasks until it has proved to work.
     async def story(system):
         async def strike():
             minion = system.places["dc0-m1"]
@@ -254,8 +254,8 @@
 
 
 def test_a_job_that_fails_everywhere_is_told_as_failed(play_pools):
-    # An auditor submits a draw that can never be done. She is told so after its
-    # attempts, and the minions that failed it are not suspected for one bad job.
+    # A task that always fails is answered as failed after its last attempt, and the
+    # minions that ran it are not suspected because of one bad job.
     async def story(system):
         system.book.usual = Work(USUAL_NEEDS, ms(60), fails=True)
         result = await system.submit(system.other(), usual_batch("c" * 16, 1))
@@ -270,8 +270,8 @@
 
 
 def test_the_caller_hangs_up(play_pools):
-    # A manager closes her browser. Nobody wants the result: waiting tasks are dropped
-    # and active ones are stopped, so that the room serves others.
+    # A caller disconnects, so the result is no longer needed. Its queued tasks are
+    # dropped and its running tasks are stopped, which frees capacity for other jobs.
     async def story(system):
         system.book.usual = Work(USUAL_NEEDS, ms(2_000))
         async with anyio.create_task_group() as group:
@@ -287,9 +287,9 @@
 
 
 def test_room_is_not_used_again_before_a_stopped_run_has_ended(play_pools):
-    # Minions are full when a manager closes her browser. What is being stopped for her
-    # is not told as active any more, but takes up to 50 ms to end: a task that starts
-    # in its place too early brings the minion over its capacity.
+    # Minions are full when a caller disconnects. Its runs that are being stopped are no
+    # longer reported as active, but take up to 50 ms to end. A task that starts in
+    # their place before that makes the minion exceed its capacity.
     size = PoolSystemSize(data_centres=1, minions_each=2)
 
     async def story(system):
@@ -316,9 +316,9 @@
 
 
 def test_runs_that_nobody_claims_use_room_until_they_have_ended(play_pools):
-    # The host that orders the minions dies with jobs of its own callers at work. Its
-    # successor finds runs that nobody claims, and does not know their size. It stops
-    # them, which takes up to 50 ms; new tasks must wait until they have ended.
+    # The owner crashes with a job of its own caller running. Its successor finds runs
+    # that no host claims, and whose size is unknown. It stops them, which takes up to
+    # 50 ms, and new tasks must wait until they have ended.
     size = PoolSystemSize(data_centres=1, minions_each=2)
 
     async def story(system):
@@ -342,10 +342,10 @@
 
 @pytest.mark.parametrize("newcomer", [False, True])
 def test_minions_missing_from_the_list_may_still_run_tasks(play_pools, newcomer):
-    # A data centre was cut off from the store, and the entries of most of its minions
-    # have expired. Its owner leaves before they are back. The successor reads a list of
-    # one minion: if it takes that for all there are, it starts the tasks of a waiting
-    # job beside those that go on elsewhere.
+    # A data centre was partitioned from the store, and the entries of most of its
+    # minions have expired. Its owner is killed before they are back, and the successor
+    # reads a list of one minion. If it assumes that there are no others, it starts the
+    # tasks of a running job again, beside their runs on the unlisted minions.
     size = PoolSystemSize(data_centres=1, hosts_each=2)
 
     async def story(system):
@@ -373,10 +373,10 @@
 
 
 def test_an_owner_that_was_replaced_does_not_run_expired_tasks_again(play_pools):
-    # The owner of a pool is cut off from the store, the other hosts and one minion,
-    # which runs a task for a caller of that host. Its successor reaches that minion,
-    # and extends the lease of what it finds, but not the other minion. The first owner
-    # takes the lease for over and starts the task on the other minion, beside itself.
+    # The owner of a pool is partitioned from the store, the other hosts and the minion
+    # that runs a task of its own caller. The successor reaches only that minion and
+    # extends the lease of the run. The first owner, which assumes that the lease has
+    # expired, must not start the task on the other minion while the run goes on.
     size = PoolSystemSize(data_centres=1, minions_each=2)
 
     async def story(system):
@@ -402,8 +402,8 @@
 
 
 def test_wide_jobs_spill_to_the_other_data_centre(play_pools):
-    # A job is wider than its data centre has room for: the rest of its tasks go to
-    # another one that has, instead of waiting for a second round.
+    # A job has more tasks than its data centre has free slots. The rest of its tasks go
+    # to another data centre instead of waiting for the first ones to end.
     async def story(system):
         result = await system.submit(system.other(), usual_batch("e" * 16, 14))
         return result, {m.entry.data_centre for m in system.places.values()}
@@ -415,8 +415,8 @@
 
 
 def test_a_job_that_cannot_be_in_time_is_refused_as_not_run(play_pools):
-    # Minions are full of long tasks. A caller with a short timeout is told at once
-    # when to come back, and that nothing has run: waiting would help nobody.
+    # Minions are full of long tasks, so a job with a short timeout cannot end in time.
+    # It is refused at once as not run, with the time after which to retry.
     size = PoolSystemSize(data_centres=1, minions_each=1)
 
     async def story(system):
@@ -442,7 +442,7 @@
 
 
 def test_a_draining_minion_gets_nothing_new(play_pools):
-    # A minion is to be taken away. Once its entry says so, it gets no more tasks.
+    # A minion whose entry is marked as draining must get no more tasks.
     async def story(system):
         from dataclasses import replace
 
@@ -473,9 +473,9 @@
 
 
 def test_a_minion_that_has_left_is_not_called_any_more(play_pools):
-    # A minion crashes for good and its entry goes. Its owner asks for it for a while,
-    # as it may come back, and then forgets it: otherwise each minion that was ever
-    # replaced would be called ten times a second for as long as the host runs.
+    # A minion crashes permanently and its entry is removed. Its owner probes it for a
+    # while, as it may come back, and then must forget it. Otherwise each minion that
+    # was ever replaced would be called ten times a second for as long as the host runs.
     async def story(system):
         minion = system.places["dc0-m1"]
         minion.crash()
@@ -491,8 +491,8 @@
 
 
 def test_a_newer_configuration_reaches_a_host_without_the_store(play_pools):
-    # One host cannot reach the store when the operator changes the configuration. It
-    # hears of it from the owner of its pool, and never goes back to the older one.
+    # A host cannot reach the store when an operator changes the configuration. It gets
+    # the change from the owner of its pool, and no host reverts to an older version.
     async def story(system):
         name = system.other()
         system.store.cut.add(name)
@@ -509,8 +509,8 @@
 
 
 def test_every_host_is_killed_and_started_again(play_pools):
-    # All processes die at once; the store still names the old owners. The new ones take
-    # their pools over without waiting for anything to run out.
+    # All hosts are killed at once, and the store still names the old owners. The
+    # restarted hosts take the pools over without waiting for a lease to expire.
     async def story(system):
         for name in list(system.hosts):
             system.kill(name)
@@ -524,10 +524,9 @@
 
 
 def test_a_new_owner_is_given_time_to_be_reached(play_pools):
-    # Hosts are slow, and a connection to a new owner takes a quarter of a second. Those
-    # that have not reached it yet must not take the pool from it: each takeover makes
-    # work for all of them, so that the next owner is slower still, and no caller of the
-    # data centre is served any more.
+    # Hosts are slow, and a connection to a new owner takes 250 ms. Hosts that have not
+    # connected yet must not take the pool from it: each takeover adds load to all
+    # hosts, so that the next owner is even slower, and in the end no caller is served.
     async def story(system):
         system.network.opening = ms(250)
         before = {}
@@ -553,10 +552,10 @@
 
 
 def test_a_task_asked_for_again_waits_until_its_stopped_run_has_ended(play_pools):
-    # A coordinator is silent for so long that an owner gives its tasks up and stops
-    # them. One minion is out of reach, so the runs there go on until their lease is
-    # over. The coordinator comes back and asks for its tasks again; those that are
-    # still at work must not start a second time beside their first run.
+    # A coordinator is silent for so long that the owner gives its tasks up and stops
+    # them. Their minions are unreachable, so the runs go on until their leases expire.
+    # The coordinator comes back and claims its tasks again: they must not start a
+    # second time while their first runs still go on.
     batch = usual_batch("a" * 16, 2, estimate=ms(1_600))
 
     async def story(system):
@@ -578,10 +577,10 @@
 
 
 def test_a_slow_host_takes_over_a_pool_of_many_minions(play_pools):
-    # The host that orders forty minions dies, and its successor is slow: a call takes
-    # 5 ms of its processor. If it called all of them at once, each answer would come
-    # after the 60 ms that it waits for one, it would call them all again, and none of
-    # the data centre's callers would be served any more.
+    # The owner of forty minions crashes, and its successor is slow: a call costs 5 ms
+    # of CPU time. If it called all minions at once, each answer would exceed the
+    # timeout of 60 ms, it would call all of them again, and it would serve no caller
+    # any more.
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=40)
 
     async def story(system):
@@ -597,9 +596,9 @@
 
 
 def test_jobs_that_can_never_be_done_do_not_stop_the_others(play_pools):
-    # A program sends draws that fail wherever they run, one after the other. Each
-    # minion fails two of them in a row. An auditor's sound draw must not wait until
-    # minions that have nothing wrong with them are trusted again.
+    # A caller submits tasks that fail wherever they run, one after the other, so that
+    # each minion fails two in a row. A correct job must not wait until these healthy
+    # minions are trusted again.
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=3)
 
     async def story(system):
@@ -620,10 +619,11 @@
 
 @pytest.mark.parametrize("back_after", [ms(1_100), ms(2_500)])
 def test_a_lease_is_extended_by_an_order_that_comes_late(play_pools, back_after):
-    # A look that extends the lease of all runs has no answer. It is carried out a
-    # second later, its time counting from then, when the minion has just gone out of
-    # reach. Its runs live on after the owner takes every lease for over: they must not
-    # be started elsewhere beside that, nor others in their room once it is back.
+    # A probe that extends the leases of all runs gets no answer. The minion executes it
+    # more than a second later and counts the lease from then, and becomes unreachable.
+    # Its runs outlive the time at which the owner expects every lease to have expired.
+    # Their tasks must not start elsewhere meanwhile, and no others may start in their
+    # place once the minion is back.
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=2)
 
     async def story(system):
@@ -650,7 +650,7 @@
 
 
 class AskingHost:
-    """Ask owners for one task of a job, and keep what they tell."""
+    """Request one task of a job from owners, and record their messages."""
 
     name = "asking"
 
@@ -684,10 +684,10 @@
 
 
 def test_a_task_is_claimed_while_a_minion_has_not_been_reached_yet(play_pools):
-    # The host that orders the minions dies. Its successor does not reach the minion
-    # that runs a draw, and waits no longer for it. Then the draw's coordinator, whose
-    # connection took long, asks for its task: as nobody can tell whether it still runs,
-    # it must be given back as in doubt and not be started elsewhere beside the first.
+    # The owner crashes. Its successor cannot reach the minion that runs a task, and
+    # stops waiting for it. Then the coordinator, whose connection took long, claims the
+    # task. As it is unknown whether the task still runs, it must be returned with an
+    # unknown outcome and must not start elsewhere beside the first run.
     async def story(system):
         system.book.usual = Work(USUAL_NEEDS, ms(3_000))
         asking = AskingHost("a" * 16)
@@ -711,8 +711,8 @@
 
 
 def test_a_run_that_is_told_as_active_after_its_stop_keeps_its_room(play_pools):
-    # A minion answers a stop, and does not carry it out. The run goes on, and a task
-    # that starts in its place brings the minion over its capacity.
+    # A minion acknowledges a stop but does not execute it. The run goes on, and a task
+    # that starts in its place would make the minion exceed its capacity.
     size = PoolSystemSize(data_centres=1, hosts_each=1, minions_each=1)
 
     async def story(system):
@@ -732,8 +732,8 @@
 
 
 def test_an_entry_of_an_unknown_service_names_no_minion(play_pools):
-    # Another writer lists something under a service that the configuration does not
-    # name. It may be no minion at all: nobody calls it, and the others go on.
+    # Another program lists an entry under a service that the configuration does not
+    # name. As it may not be a minion at all, it is not called; the others are used.
     async def story(system):
         stranger = replace(system.listed[0], id="stranger", service="printing")
         system.listed.append(stranger)
--- a/tests/host/test_random_streams.py
+++ b/tests/host/test_random_streams.py
@@ -1,6 +1,7 @@
 """Compare hosts and minions under random faults with a naive dispatcher.
 
-The naive one runs each job once, in a process that never fails and has room for all.
+The naive dispatcher runs each job once, in a process that never fails and has capacity
+for all jobs.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from brasstray_standins.leased_minion import Work
 from brasstray_standins.pool_system import CONFIG_KEY, USUAL_NEEDS, PoolSystemSize
 
-# About a second each on a busy machine; more are played by hand.
+# About a second each on a busy machine; more are run by hand.
 EXAMPLES = int(os.environ.get("STREAM_EXAMPLES", "40"))
 SIZE = PoolSystemSize(data_centres=2, hosts_each=2, minions_each=3)
 HOSTS = SIZE.data_centres * SIZE.hosts_each
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Submit:
-    """Hand in a job at a host."""
+    """Submit a job to a host."""
 
     host: int
     width: int
@@ -46,7 +47,7 @@
 
 @dataclass(frozen=True)
 class Strike:
-    """Do something to a host, a minion or the store, for a while."""
+    """Inject a fault into a host, a minion or the store for a limited time."""
 
     what: str
     target: int
@@ -87,7 +88,7 @@
 
 
 class Client:
-    """Submit one job, and send it again if its first answer does not come."""
+    """Submit one job, and submit it again if its outcome stays unknown."""
 
     def __init__(self, system, job, submit):
         self._system = system
@@ -135,7 +136,7 @@
 
 
 class Striker:
-    """Bring about faults, each of which ends after its time."""
+    """Inject faults, and end each of them after its duration."""
 
     def __init__(self, system):
         self._system = system
@@ -226,7 +227,7 @@
                     group.start_soon(striker.strike, event)
                 case Pause(ms):
                     await system.clock.sleep(timedelta(milliseconds=ms))
-    # Orders that were held back arrive up to 3 s later.
+    # Delayed orders to minions arrive up to 3 s later.
     await system.clock.sleep(timedelta(seconds=5))
     return clients
 
@@ -255,7 +256,7 @@
     clients, system = play_pools(story, SIZE)
     for client, submit in zip(clients, submits, strict=True):
         outcome = client.tries[0]
-        # A naive dispatcher has room for all; this one may say that it has not.
+        # Unlike the naive dispatcher, this one may refuse jobs for lack of capacity.
         assert outcome in (naive_outcome(submit), BatchOutcome.NOT_RUN)
     assert system.book.broken == []
 
@@ -263,10 +264,11 @@
 @settings(max_examples=EXAMPLES, **CHECKS)
 @given(STREAMS)
 def test_under_faults_no_answer_is_untrue(play_pools, stream):
-    # Callers submit, hang up and send again while hosts die, freeze, leave and are cut
-    # off, minions crash, stall and lose orders, and the store fails or drops keys. No
-    # task may be at work twice at once and no minion over its room; what was answered
-    # as done has run, and what was answered as "not run" never does.
+    # Callers submit, disconnect and resubmit while hosts crash, freeze, drain and are
+    # partitioned, minions crash, hang and lose orders, and the store fails or loses
+    # keys. No task may run twice at the same time, and no minion may exceed its
+    # capacity. Jobs answered as succeeded have run; those answered as "not run" never
+    # do.
     async def story(system):
         return await play_stream(system, stream)
 
