--- a/src/brasstray/trace/cause.py
+++ b/src/brasstray/trace/cause.py
@@ -15,7 +15,7 @@
 
 # A lost link is detected, and a job with tasks behind it is given up, within about
 # 1.5 s. Older lines cannot have caused the outcome.
-LOOK_BACK_SECONDS = 5.0
+CAUSE_WINDOW_SECONDS = 5.0
 # Events that delay a request, in order of decreasing cost: after each, the task has to
 # wait before it can run elsewhere.
 _DELAYS = ("start_unanswered", "run_ended", "start_refused", "claimed", "moved")
@@ -37,55 +37,59 @@
     """
     answer = next((x for x in reversed(timeline) if x.kind == "answer"), None)
     if answer is None:
-        return _without_answer(timeline)
+        return _cause_without_answer(timeline)
     outcome, reason = answer.text("outcome"), answer.text("reason")
     if outcome == BatchOutcome.SUCCEEDED.value:
-        return _of_success(answer, timeline)
+        return _cause_of_success(answer, timeline)
     match reason:
         case GiveUpReason.TASK_FAILED.value:
-            failed = _last(timeline, _ended(RunEnd.FAILED))
+            failed = _last_matching(timeline, _run_ended_with(RunEnd.FAILED))
             return Cause(
                 failed, "a task failed in every run that its attempt limit allows"
             )
         case GiveUpReason.OVERLOADED.value:
-            back = _last(timeline, lambda line: line.kind == "rejected")
+            rejection = _last_matching(timeline, lambda line: line.kind == "rejected")
             meaning = (
                 "an owner estimated that the queued work takes longer than the timeout"
             )
-            return Cause(back, meaning)
+            return Cause(rejection, meaning)
         case GiveUpReason.EVACUATED.value:
-            changed = _last(lines, _told_before(answer, "evacuations_changed"))
+            evacuation = _last_matching(
+                lines, _logged_by_host_before(answer, "evacuations_changed")
+            )
             meaning = (
                 "operators have evacuated every data centre that its host can reach"
             )
-            return Cause(changed or answer, meaning)
+            return Cause(evacuation or answer, meaning)
         case GiveUpReason.NO_POOL.value:
-            lost = _before(answer, lines, ("owner_lost", "pool_left", "store_lost"))
+            lost = _last_in_window(
+                answer, lines, ("owner_lost", "pool_left", "store_lost")
+            )
             return Cause(lost, "its host could not reach the owner of any pool")
         case GiveUpReason.POOL_LOST.value:
-            return _of_lost_pool(answer, timeline, lines)
+            return _cause_of_lost_pool(answer, timeline, lines)
         case GiveUpReason.TOO_LATE.value:
-            slow = _first_delay(timeline)
-            return Cause(slow, "the timeout expired before all tasks had ended")
+            delay = _first_delay(timeline)
+            return Cause(delay, "the timeout expired before all tasks had ended")
         case GiveUpReason.CALLER_GONE.value | GiveUpReason.CANCELLED.value:
             return Cause(answer, "the caller disconnected or cancelled the request")
         case GiveUpReason.STOPPING.value:
-            stood = _before(answer, lines, ("suspended", "draining"))
-            return Cause(stood or answer, "its host was suspended or stopped")
+            interruption = _last_in_window(answer, lines, ("suspended", "draining"))
+            return Cause(interruption or answer, "its host was suspended or stopped")
     return Cause(
         answer, "no explanation is known for this reason; read the lines in order"
     )
 
 
-def _without_answer(timeline: Sequence[LogLine]) -> Cause:
-    refused = _last(timeline, lambda line: line.kind == "refused")
+def _cause_without_answer(timeline: Sequence[LogLine]) -> Cause:
+    refused = _last_matching(timeline, lambda line: line.kind == "refused")
     if refused is not None:
         return Cause(refused, "refused before any of its tasks was queued")
     meaning = "no answer was logged: its host crashed, or its log lines are missing"
     return Cause(timeline[-1] if timeline else None, meaning)
 
 
-def _of_success(answer: LogLine, timeline: Sequence[LogLine]) -> Cause:
+def _cause_of_success(answer: LogLine, timeline: Sequence[LogLine]) -> Cause:
     if answer.number("took_ms") <= answer.number("objective_ms"):
         return Cause(answer, "answered within the objective")
     delay = _first_delay(timeline)
@@ -96,21 +100,21 @@
     return Cause(delay, "late: this delayed the task")
 
 
-def _of_lost_pool(
+def _cause_of_lost_pool(
     answer: LogLine, timeline: Sequence[LogLine], lines: Sequence[LogLine]
 ) -> Cause:
-    doubt = _last(
+    in_doubt = _last_matching(
         timeline,
         lambda line: (
             line.kind == "dropped" and line.text("reason") == "outcome_unknown"
         ),
     )
-    if doubt is not None:
-        return Cause(doubt, "an owner could not determine whether a task still runs")
+    if in_doubt is not None:
+        return Cause(in_doubt, "an owner could not determine whether a task still runs")
     unfinished = answer.fields.get("unfinished")
     pools = set(unfinished.values()) if isinstance(unfinished, dict) else set()
-    lost = _last(
-        _back_from(answer, lines),
+    lost = _last_matching(
+        _lines_in_window(answer, lines),
         lambda line: line.kind == "owner_lost" and line.fields.get("pool") in pools,
     )
     return Cause(
@@ -126,33 +130,37 @@
     return None
 
 
-def _ended(end: RunEnd) -> Callable[[LogLine], bool]:
+def _run_ended_with(end: RunEnd) -> Callable[[LogLine], bool]:
     return lambda line: line.kind == "run_ended" and line.text("end") == end.value
 
 
-def _told_before(answer: LogLine, kind: str) -> Callable[[LogLine], bool]:
+def _logged_by_host_before(answer: LogLine, kind: str) -> Callable[[LogLine], bool]:
     """Return a predicate for lines of the answering host, of any age."""
     return lambda line: (
         line.kind == kind and line.host == answer.host and line.at <= answer.at
     )
 
 
-def _before(
+def _last_in_window(
     answer: LogLine, lines: Sequence[LogLine], kinds: tuple[str, ...]
 ) -> LogLine | None:
-    return _last(_back_from(answer, lines), lambda line: line.kind in kinds)
+    return _last_matching(
+        _lines_in_window(answer, lines), lambda line: line.kind in kinds
+    )
 
 
-def _back_from(answer: LogLine, lines: Sequence[LogLine]) -> list[LogLine]:
+def _lines_in_window(answer: LogLine, lines: Sequence[LogLine]) -> list[LogLine]:
     """Return the lines of the answering host within the window before `answer`."""
-    oldest = answer.at - LOOK_BACK_SECONDS
+    oldest = answer.at - CAUSE_WINDOW_SECONDS
     return [x for x in lines if x.host == answer.host and oldest <= x.at <= answer.at]
 
 
-def _last(lines: Iterable[LogLine], fits: Callable[[LogLine], bool]) -> LogLine | None:
+def _last_matching(
+    lines: Iterable[LogLine], matches: Callable[[LogLine], bool]
+) -> LogLine | None:
     found = None
     for line in lines:
-        if fits(line):
+        if matches(line):
             found = line
     return found
 
--- a/src/brasstray/trace/log_line.py
+++ b/src/brasstray/trace/log_line.py
@@ -10,7 +10,7 @@
 
 MESSAGE_PREFIX = "brasstray:"
 # Fields that eliot adds to each line; they carry no information about the event.
-_ENVELOPE = frozenset({"timestamp", "task_uuid", "task_level", "message_type"})
+_ELIOT_FIELDS = frozenset({"timestamp", "task_uuid", "task_level", "message_type"})
 
 
 @dataclass(frozen=True, slots=True)
@@ -47,7 +47,7 @@
         return {
             name: value
             for name, value in self.fields.items()
-            if name not in _ENVELOPE and value is not None
+            if name not in _ELIOT_FIELDS and value is not None
         }
 
 
--- a/src/brasstray/trace/log_reader.py
+++ b/src/brasstray/trace/log_reader.py
@@ -22,14 +22,14 @@
     for path in paths:
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
-                lines.extend(_lines(file, path.stem))
+                lines.extend(_parse_lines(file, path.stem))
         except OSError as error:
             raise UnreadableLogError(f"{path}: {error.strerror}") from error
     lines.sort(key=lambda line: line.at)
     return lines
 
 
-def _lines(texts: Iterable[str], file_name: str) -> Iterable[LogLine]:
+def _parse_lines(texts: Iterable[str], file_name: str) -> Iterable[LogLine]:
     for text in texts:
         line = parse_line(text, file_name)
         if line is not None:
@@ -42,7 +42,7 @@
     A collector may put the time in seconds and the host's name in front. Without them,
     `file_name` is used as the host's name.
     """
-    front, brace, rest = text.partition("{")
+    prefix, brace, rest = text.partition("{")
     try:
         fields = json.loads(brace + rest)
     except ValueError:
@@ -50,14 +50,14 @@
     kind = str(fields.get("message_type", ""))
     if not kind.startswith(MESSAGE_PREFIX):
         return None
-    at, host = _collected(front.split())
+    at, host = _parse_collector_prefix(prefix.split())
     if at is None:
         stamp = fields.get("timestamp")
         at = float(stamp) if isinstance(stamp, (int, float)) else 0.0
     return LogLine(at, host or file_name, kind.removeprefix(MESSAGE_PREFIX), fields)
 
 
-def _collected(words: list[str]) -> tuple[float | None, str | None]:
+def _parse_collector_prefix(words: list[str]) -> tuple[float | None, str | None]:
     if len(words) < 2:
         return None, None
     try:
--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -27,7 +27,7 @@
 
 FAILED_RUN = {"end": "failed", "task": "0.1", "run": 3, "minion": "m1"}
 # For each case the log lines, and the kind and time of the line that is the cause.
-STORIES = {
+CASES = {
     "refused under load": (
         [
             line(2.373, "a1", "rejected", job=JOB, tasks=8, wait_ms=115),
@@ -112,19 +112,19 @@
     return path
 
 
-@pytest.mark.parametrize("name", STORIES)
+@pytest.mark.parametrize("name", CASES)
 def test_the_deciding_line_is_found(tmp_path, name):
     # Lines may come in any order, and lines of other requests are ignored.
-    lines, decided = STORIES[name]
+    lines, expected_cause = CASES[name]
     noise = line(0.5, "a2", "answer", job="0" * 16, outcome="not_run")
     trace = trace_job(JOB, read_logs([read(tmp_path, [*reversed(lines), noise])]))
-    assert (trace.cause.line.kind, trace.cause.line.at) == decided
+    assert (trace.cause.line.kind, trace.cause.line.at) == expected_cause
     assert [x.at for x in trace.timeline] == sorted(x.at for x in trace.timeline)
     assert all(x.job == JOB for x in trace.timeline)
 
 
 @pytest.mark.parametrize(
-    ("text", "found"),
+    ("text", "expected"),
     [
         ('{"message_type": "brasstray:stopped", "timestamp": 2.5}', (2.5, "a1")),
         ('  7.25 b1 {"message_type": "brasstray:stopped"}', (7.25, "b1")),
@@ -134,13 +134,13 @@
         ('{"message_type": "brasstray:sto', None),
     ],
 )
-def test_lines_are_told_from_what_else_is_in_a_log(text, found):
+def test_lines_are_told_from_what_else_is_in_a_log(text, expected):
     line = parse_line(text, "a1")
-    assert (None if line is None else (line.at, line.host)) == found
+    assert (None if line is None else (line.at, line.host)) == expected
 
 
 def test_lines_that_were_dropped_are_told_of(tmp_path):
-    lines, _ = STORIES["refused under load"]
+    lines, _ = CASES["refused under load"]
     dropped = line(3.0, "a1", "lines_dropped", count=7)
     assert trace_job(JOB, read_logs([read(tmp_path, [*lines, dropped])])).dropped == 7
 
@@ -156,20 +156,20 @@
 
 
 @pytest.mark.parametrize(
-    ("job", "status", "said"),
+    ("job", "status", "expected_output"),
     [
         (JOB, 0, "* 2.373 a1 rejected job=56afe940030edd02 tasks=8 wait_ms=115"),
         ("f" * 16, 1, "no line names this request"),
     ],
 )
-def test_the_command_marks_the_deciding_line(tmp_path, job, status, said):
-    path = read(tmp_path, STORIES["refused under load"][0])
+def test_the_command_marks_the_deciding_line(tmp_path, job, status, expected_output):
+    path = read(tmp_path, CASES["refused under load"][0])
     result = CliRunner().invoke(app, ["trace", job, str(path)])
     assert result.exit_code == status
-    assert said in result.output
+    assert expected_output in result.output
 
 
 def test_the_command_prints_json(tmp_path):
-    path = read(tmp_path, STORIES["refused under load"][0])
+    path = read(tmp_path, CASES["refused under load"][0])
     result = CliRunner().invoke(app, ["trace", JOB, str(path), "--json"])
     assert json.loads(result.stdout)["cause"]["line"]["kind"] == "rejected"
