--- a/src/brasstray/log/bounded_output.py
+++ b/src/brasstray/log/bounded_output.py
@@ -32,9 +32,9 @@
         self._clock = clock
         self._lines: deque[bytes] = deque()
         self._dropped = 0
-        self._rest = b""
-        self._allowed = float(MOST_LINES_A_SECOND)
-        self._renewed_at = timedelta(0)
+        self._unwritten = b""
+        self._tokens = float(MOST_LINES_A_SECOND)
+        self._refilled_at = timedelta(0)
         self._wake = anyio.Event()
 
     @property
@@ -45,35 +45,35 @@
     def __call__(self, message: dict[str, Any]) -> None:
         """Buffer one message, or drop it if it exceeds a limit."""
         self._wake.set()
-        if len(self._lines) >= MOST_LINES or self._allowed < 1:
+        if len(self._lines) >= MOST_LINES or self._tokens < 1:
             self._dropped += 1
             return
-        self._allowed -= 1
+        self._tokens -= 1
         self._lines.append(json.dumps(message, default=str).encode() + b"\n")
 
     async def run(self) -> None:
         """Write buffered lines at each flush interval until cancelled."""
-        self._renewed_at = self._clock.monotonic()
+        self._refilled_at = self._clock.monotonic()
         while True:
             await self._wake.wait()
             self._wake = anyio.Event()
             await self._clock.sleep(FLUSH_INTERVAL)
-            self._renew()
+            self._refill()
             self.flush()
 
-    def _renew(self) -> None:
+    def _refill(self) -> None:
         now = self._clock.monotonic()
-        gained = MOST_LINES_A_SECOND * (now - self._renewed_at).total_seconds()
-        self._allowed = min(float(MOST_LINES_A_SECOND), self._allowed + gained)
-        self._renewed_at = now
+        refill = MOST_LINES_A_SECOND * (now - self._refilled_at).total_seconds()
+        self._tokens = min(float(MOST_LINES_A_SECOND), self._tokens + refill)
+        self._refilled_at = now
 
     def flush(self) -> None:
         """Write as many buffered bytes as the descriptor accepts without blocking."""
         if self._dropped and len(self._lines) < MOST_LINES:
-            told = {"message_type": "brasstray:lines_dropped", "count": self._dropped}
+            notice = {"message_type": "brasstray:lines_dropped", "count": self._dropped}
             self._dropped = 0
-            self._lines.append(json.dumps(told).encode() + b"\n")
-        data = self._rest + b"".join(self._lines)
+            self._lines.append(json.dumps(notice).encode() + b"\n")
+        data = self._unwritten + b"".join(self._lines)
         self._lines.clear()
         if not data:
             return
@@ -83,9 +83,9 @@
             written = 0
         except OSError:
             # The reader has closed its end, so the error cannot be logged.
-            self._rest = b""
+            self._unwritten = b""
             return
-        self._rest = data[written:]
+        self._unwritten = data[written:]
 
 
 __all__ = ["BoundedOutput"]
