--- a/tests/trace/test_trace.py
+++ b/tests/trace/test_trace.py
@@ -134,12 +134,12 @@
         ('{"message_type": "brasstray:sto', None),
     ],
 )
-def test_lines_are_told_from_what_else_is_in_a_log(text, expected):
+def test_only_lines_of_hosts_are_parsed(text, expected):
     line = parse_line(text, "a1")
     assert (None if line is None else (line.at, line.host)) == expected
 
 
-def test_lines_that_were_dropped_are_told_of(tmp_path):
+def test_dropped_lines_are_counted(tmp_path):
     lines, _ = CASES["refused under load"]
     dropped = line(3.0, "a1", "lines_dropped", count=7)
     assert trace_job(JOB, read_logs([read(tmp_path, [*lines, dropped])])).dropped == 7
