--- a/src/brasstray/host/gauges.py
+++ b/src/brasstray/host/gauges.py
@@ -38,10 +38,10 @@
     def config() -> Mapping[str, float]:
         return {"version": host.config.version}
 
-    metrics.observe("brasstray_jobs", "jobs that callers wait for", jobs)
-    metrics.observe("brasstray_pool", "the pool, if this host owns it", pool)
-    metrics.observe("brasstray_minions", "minions of the pool, by reach", minions)
-    metrics.observe("brasstray_config", "the configuration in force", config)
+    metrics.add_gauge("brasstray_jobs", "jobs that callers wait for", jobs)
+    metrics.add_gauge("brasstray_pool", "the pool, if this host owns it", pool)
+    metrics.add_gauge("brasstray_minions", "minions of the pool, by reach", minions)
+    metrics.add_gauge("brasstray_config", "the configuration in force", config)
 
 
 __all__ = ["observe_host"]
--- a/src/brasstray/metrics/pool_metrics.py
+++ b/src/brasstray/metrics/pool_metrics.py
@@ -36,7 +36,7 @@
         self._retries = meter.create_counter(
             "brasstray_retries", description="tasks asked for again, by reason"
         )
-        self._ends = meter.create_counter(
+        self._run_ends = meter.create_counter(
             "brasstray_run_ends", description="runs ended, by how"
         )
         self._config_bytes = meter.create_counter(
@@ -49,14 +49,14 @@
             description="response time over the objective",
             explicit_bucket_boundaries_advisory=RATIO_BOUNDS,
         )
-        self._wait = meter.create_histogram(
+        self._queue_wait = meter.create_histogram(
             "brasstray_queue_wait_seconds",
             unit="s",
             description="wait for a start",
             explicit_bucket_boundaries_advisory=WAIT_BOUNDS_SECONDS,
         )
 
-    def observe(
+    def add_gauge(
         self, name: str, description: str, read: Callable[[], Mapping[str, float]]
     ) -> None:
         """Add a gauge that calls `read` at each scrape; keys become the label `of`."""
@@ -69,11 +69,11 @@
         )
 
     def count_answer(
-        self, result: BatchResult, took: timedelta, objective: timedelta
+        self, result: BatchResult, elapsed: timedelta, objective: timedelta
     ) -> None:
         """Count an answer by outcome and reason, and record its latency ratio."""
         self._answers.add(1, {"outcome": result.outcome.value})
-        self._latency.record(took / max(objective, _SECOND / 1_000))
+        self._latency.record(elapsed / max(objective, _SECOND / 1_000))
         if result.reason is not None:
             self.count_reason(result.reason.value)
 
@@ -85,17 +85,17 @@
         """Count a task that is requested again."""
         self._retries.add(1, {_REASON: reason})
 
-    def count_config_bytes(self, what: str, size: int) -> None:
+    def count_config_bytes(self, use: str, size: int) -> None:
         """Count bytes of configurations exchanged with hosts, by their use."""
-        self._config_bytes.add(size, {"what": what})
+        self._config_bytes.add(size, {"what": use})
 
     def count_start(self, waited: timedelta) -> None:
         """Count a start, and record how long its task was queued."""
-        self._wait.record(waited / _SECOND)
+        self._queue_wait.record(waited / _SECOND)
 
-    def count_end(self, how: str) -> None:
+    def count_end(self, end: str) -> None:
         """Count the end of a run, by how it ended."""
-        self._ends.add(1, {"end": how})
+        self._run_ends.add(1, {"end": end})
 
 
 __all__ = ["PoolMetrics"]
--- a/src/brasstray/metrics/prometheus_text.py
+++ b/src/brasstray/metrics/prometheus_text.py
@@ -56,11 +56,11 @@
 
 def _histogram_lines(name: str, point: HistogramDataPoint) -> Iterator[str]:
     labels = dict(point.attributes or {})
-    below = 0
+    cumulative = 0
     bounds = [str(bound) for bound in point.explicit_bounds]
     for bound, count in zip([*bounds, "+Inf"], point.bucket_counts, strict=True):
-        below += count
-        yield f"{name}_bucket{_labels({**labels, 'le': bound})} {below}"
+        cumulative += count
+        yield f"{name}_bucket{_labels({**labels, 'le': bound})} {cumulative}"
     yield f"{name}_sum{_labels(labels)} {point.sum}"
     yield f"{name}_count{_labels(labels)} {point.count}"
 
--- a/tests/metrics/test_prometheus_text.py
+++ b/tests/metrics/test_prometheus_text.py
@@ -15,7 +15,7 @@
 def test_counters_gauges_and_histograms_have_a_line_a_value():
     reader = InMemoryMetricReader()
     metrics = PoolMetrics(MeterProvider([reader]).get_meter("h"))
-    metrics.observe("brasstray_pool", "a pool", lambda: {"places": 4})
+    metrics.add_gauge("brasstray_pool", "a pool", lambda: {"places": 4})
     result = BatchResult(BatchOutcome.NOT_RUN, GiveUpReason.OVERLOADED)
     second = timedelta(seconds=1)
     metrics.count_answer(result, 2 * second, second)
