--- a/src/brasstray/host/config_exchange.py
+++ b/src/brasstray/host/config_exchange.py
@@ -44,35 +44,35 @@
         """Fetch newer configurations, until cancelled."""
         await self._fetch.run()
 
-    def hear(
-        self, host: str, version: ConfigVersion, tell: Callable[[PoolMessage], None]
+    def record_version(
+        self, host: str, version: ConfigVersion, send: Callable[[PoolMessage], None]
     ) -> None:
-        """Record that `host` has `version` in force; `tell` sends a message to it."""
-        self._fetch.offer(host, version, tell)
+        """Record that `host` has `version` in force; `send` sends a message to it."""
+        self._fetch.offer(host, version, send)
 
-    def take(
+    def handle_message(
         self,
         host: str,
         message: ConfigWanted | ConfigPart,
-        tell: Callable[[PoolMessage], None],
+        send: Callable[[PoolMessage], None],
     ) -> None:
-        """Handle a request or a part from `host`; `tell` sends a message to it."""
+        """Handle a request or a part from `host`; `send` sends a message to it."""
         match message:
             case ConfigPart():
-                self._fetch.take(host, message)
+                self._fetch.receive_part(host, message)
             case ConfigWanted() if self._config.current is not None:
-                part = part_for(message, self._config.current)
-                tell(part)
+                part = requested_part(message, self._config.current)
+                send(part)
                 if part.offset + len(part.text) >= part.size:
                     self._events.config_told(host, part.version, part.size)
 
 
-def part_for(wanted: ConfigWanted, current: Configuration) -> ConfigPart:
+def requested_part(request: ConfigWanted, current: Configuration) -> ConfigPart:
     """Return the part of `current` that a host has requested.
 
     It is the first part if the requested version is no longer in force.
     """
-    offset = wanted.offset if wanted.version == current.version else 0
+    offset = request.offset if request.version == current.version else 0
     return ConfigPart(
         version=current.version,
         size=len(current.text),
@@ -81,4 +81,4 @@
     )
 
 
-__all__ = ["PART_BYTES", "ConfigExchange", "part_for"]
+__all__ = ["PART_BYTES", "ConfigExchange", "requested_part"]
--- a/src/brasstray/host/config_fetch.py
+++ b/src/brasstray/host/config_fetch.py
@@ -27,7 +27,7 @@
 
     host: str
     version: ConfigVersion
-    ask: Callable[[ConfigWanted], None]
+    send: Callable[[ConfigWanted], None]
 
 
 class ConfigFetch:
@@ -59,53 +59,58 @@
         self._events = events
         self._offers: dict[str, _Offer] = {}
         self._offered = anyio.Event()
-        self._version = NO_CONFIG
-        self._unreadable = NO_CONFIG
-        self._text = bytearray()
-        self._came = anyio.Event()
+        self._partial_version = NO_CONFIG
+        self._unreadable_version = NO_CONFIG
+        self._partial_text = bytearray()
+        self._part_received = anyio.Event()
 
     @property
-    def _known(self) -> ConfigVersion:
+    def _newest_known(self) -> ConfigVersion:
         """Return the newest version whose text need not be fetched."""
-        return max(self._config.version, self._unreadable)
+        return max(self._config.version, self._unreadable_version)
 
     def offer(
-        self, host: str, version: ConfigVersion, ask: Callable[[ConfigWanted], None]
+        self, host: str, version: ConfigVersion, send: Callable[[ConfigWanted], None]
     ) -> None:
-        """Record that `host` has `version`; `ask` sends it a request."""
-        if version > self._known:
-            self._offers[host] = _Offer(host, version, ask)
+        """Record that `host` has `version`; `send` sends it a request."""
+        if version > self._newest_known:
+            self._offers[host] = _Offer(host, version, send)
             self._offered.set()
 
-    def take(self, host: str, part: ConfigPart) -> None:
+    def receive_part(self, host: str, part: ConfigPart) -> None:
         """Add a part that `host` has sent, or discard it if it is not the next one."""
-        if part.version > max(self._version, self._known) and not part.offset:
-            self._version = part.version
-            self._text.clear()
-        if part.version != self._version or part.offset != len(self._text):
+        if (
+            part.version > max(self._partial_version, self._newest_known)
+            and not part.offset
+        ):
+            self._partial_version = part.version
+            self._partial_text.clear()
+        if part.version != self._partial_version or part.offset != len(
+            self._partial_text
+        ):
             # A late reply to a request that was repeated in the meantime.
             self._events.config_unneeded(host, len(part.text))
             return
-        self._text += part.text
-        self._came.set()
-        if len(self._text) >= part.size:
-            self._put_in_force(host)
+        self._partial_text += part.text
+        self._part_received.set()
+        if len(self._partial_text) >= part.size:
+            self._adopt_received(host)
 
     async def run(self) -> None:
         """Fetch offered versions until cancelled."""
         while True:
             await self._offered.wait()
             self._offered = anyio.Event()
-            if self._config.in_touch:
+            if self._config.store_reachable:
                 # The store notifies every host of a change within tens of milliseconds,
                 # so wait for it before fetching the same text from another host.
                 await self._clock.sleep(self._timing.config_head_start)
-            while (offer := self._best()) is not None:
+            while (offer := self._newest_offer()) is not None:
                 await self._fetch(offer)
 
-    def _best(self) -> _Offer | None:
+    def _newest_offer(self) -> _Offer | None:
         """Return the offer of the newest version, if any needs to be fetched."""
-        known = self._known
+        known = self._newest_known
         newer = [offer for offer in self._offers.values() if offer.version > known]
         if not newer:
             self._offers.clear()
@@ -113,36 +118,40 @@
 
     async def _fetch(self, offer: _Offer) -> None:
         """Request parts until the version is in force or a reply times out."""
-        wanted = max(offer.version, self._version)
-        self._events.config_wanted(offer.host, wanted, len(self._text))
-        while self._known < wanted:
-            offset = len(self._text) if wanted == self._version else 0
-            self._came = anyio.Event()
-            offer.ask(ConfigWanted(version=wanted, offset=offset))
+        wanted = max(offer.version, self._partial_version)
+        self._events.config_wanted(offer.host, wanted, len(self._partial_text))
+        while self._newest_known < wanted:
+            offset = len(self._partial_text) if wanted == self._partial_version else 0
+            self._part_received = anyio.Event()
+            offer.send(ConfigWanted(version=wanted, offset=offset))
             with anyio.move_on_after(self._timing.config_part.total_seconds()):
-                await self._came.wait()
-            if not self._came.is_set():
+                await self._part_received.wait()
+            if not self._part_received.is_set():
                 # Try other hosts; this one is retried after its next heartbeat.
                 self._offers.pop(offer.host, None)
-                self._events.config_not_told(offer.host, wanted, len(self._text))
+                self._events.config_not_told(
+                    offer.host, wanted, len(self._partial_text)
+                )
                 return
-            wanted = max(wanted, self._version)
-        self._forget_known()
+            wanted = max(wanted, self._partial_version)
+        self._discard_superseded()
 
-    def _forget_known(self) -> None:
+    def _discard_superseded(self) -> None:
         """Discard a partial text if the store has delivered its version meanwhile."""
-        if self._text and self._version <= self._known:
-            self._events.config_unneeded("the store came first", len(self._text))
-            self._text.clear()
-            self._version = NO_CONFIG
-
-    def _put_in_force(self, host: str) -> None:
-        text = bytes(self._text)
-        self._text.clear()
-        version, self._version = self._version, NO_CONFIG
+        if self._partial_text and self._partial_version <= self._newest_known:
+            self._events.config_unneeded(
+                "the store came first", len(self._partial_text)
+            )
+            self._partial_text.clear()
+            self._partial_version = NO_CONFIG
+
+    def _adopt_received(self, host: str) -> None:
+        text = bytes(self._partial_text)
+        self._partial_text.clear()
+        version, self._partial_version = self._partial_version, NO_CONFIG
         if not self._config.adopt_text(text, host):
             # A text that cannot be parsed here would otherwise be fetched forever.
-            self._unreadable = max(self._unreadable, version)
+            self._unreadable_version = max(self._unreadable_version, version)
 
 
 __all__ = ["ConfigFetch"]
--- a/src/brasstray/host/current_config.py
+++ b/src/brasstray/host/current_config.py
@@ -26,8 +26,8 @@
         self._source = source
         self._events = events
         self._current: Configuration | None = None
-        self._in_touch = True
-        self._known = anyio.Event()
+        self._store_reachable = True
+        self._available = anyio.Event()
 
     @property
     def current(self) -> Configuration | None:
@@ -40,25 +40,25 @@
         return self._current.version if self._current else NO_CONFIG
 
     @property
-    def in_touch(self) -> bool:
+    def store_reachable(self) -> bool:
         """Return whether the store answered the last request; True before the first."""
-        return self._in_touch
+        return self._store_reachable
 
     async def wait_known(self) -> None:
         """Wait until a configuration is in force."""
-        await self._known.wait()
+        await self._available.wait()
 
-    def note_store(self, *, answers: bool) -> None:
+    def record_store_response(self, *, answered: bool) -> None:
         """Record whether a request to the store was answered."""
-        self._in_touch = answers
+        self._store_reachable = answered
 
-    def adopt(self, found: Configuration | None, source: str) -> bool:
-        """Put `found` in force if it is newer; return whether it was."""
-        if found is None or found.version <= self.version:
+    def adopt(self, candidate: Configuration | None, source: str) -> bool:
+        """Put `candidate` in force if it is newer; return whether it was."""
+        if candidate is None or candidate.version <= self.version:
             return False
-        self._current = found
-        self._known.set()
-        self._events.config_adopted(found.version, source)
+        self._current = candidate
+        self._available.set()
+        self._events.config_adopted(candidate.version, source)
         return True
 
     def adopt_text(self, text: bytes, source: str) -> bool:
@@ -67,11 +67,11 @@
         A text that cannot be parsed leaves the last configuration in force.
         """
         try:
-            found = self._source.parse(text)
+            candidate = self._source.parse(text)
         except UnreadableConfigError as error:
             self._events.config_unreadable(source, str(error))
             return False
-        if not self.adopt(found, source):
+        if not self.adopt(candidate, source):
             self._events.config_unneeded(source, len(text))
             return False
         return True
--- a/src/brasstray/host/evacuations.py
+++ b/src/brasstray/host/evacuations.py
@@ -40,7 +40,7 @@
         self._events = events
         self._current = NEVER_READ
         self._source = "nobody"
-        self._heard_at = timedelta(0)
+        self._received_at = timedelta(0)
         self._changed = anyio.Event()
 
     @property
@@ -54,41 +54,43 @@
         return self._source
 
     @property
-    def heard_ago(self) -> timedelta:
+    def age(self) -> timedelta:
         """Return the time since the newest set was received."""
-        return self._clock.monotonic() - self._heard_at
+        return self._clock.monotonic() - self._received_at
 
     def covers(self, pool: PoolId) -> bool:
         """Return whether the data centre of `pool` is evacuated."""
         return DataCentreName(pool) in self._current.data_centres
 
-    def learn(self, entries: OperatorEntries, *, whole: bool) -> None:
-        """Apply entries from the store: the `whole` set, or changes to it.
+    def apply_entries(self, entries: OperatorEntries, *, full: bool) -> None:
+        """Apply entries from the store: the `full` set, or changes to it.
 
         Changes are applied to the newest set known here. A set received from another
         host may include some of them already; applying them twice changes nothing.
         """
-        before = frozenset() if whole else self._current.data_centres
-        named = frozenset(self._named(entries.evacuated))
-        centres = (before | named) - entries.resumed
+        before = frozenset() if full else self._current.data_centres
+        evacuated = frozenset(self._without_unknown(entries.evacuated))
+        centres = (before | evacuated) - entries.resumed
         self.adopt(EvacuationSet(entries.as_of, centres), STORE)
 
-    def _named(self, centres: Iterable[DataCentreName]) -> Iterable[DataCentreName]:
+    def _without_unknown(
+        self, centres: Iterable[DataCentreName]
+    ) -> Iterable[DataCentreName]:
         for centre in centres:
             if not self._data_centres or centre in self._data_centres:
                 yield centre
             else:
                 self._events.entry_ignored(f"evacuation of {centre!r}", "unknown")
 
-    def adopt(self, found: EvacuationSet, source: str) -> None:
-        """Adopt `found` if it was read at a later version than the current set."""
-        if found.as_of <= self._current.as_of:
+    def adopt(self, received: EvacuationSet, source: str) -> None:
+        """Adopt `received` if it was read at a later version than the current set."""
+        if received.as_of <= self._current.as_of:
             return
-        before, self._current = self._current, found
+        before, self._current = self._current, received
         self._source = source
-        self._heard_at = self._clock.monotonic()
-        if found.data_centres != before.data_centres or not before.known:
-            self._events.evacuations_changed(found, source)
+        self._received_at = self._clock.monotonic()
+        if received.data_centres != before.data_centres or not before.known:
+            self._events.evacuations_changed(received, source)
             self._changed.set()
 
     async def wait_for_change(self) -> None:
--- a/src/brasstray/host/event_log.py
+++ b/src/brasstray/host/event_log.py
@@ -27,7 +27,7 @@
 
 _MILLISECOND = timedelta(milliseconds=1)
 # Ignored entries that are remembered as logged; a fleet has a few hundred minions.
-MOST_IGNORED = 1_000
+MAX_IGNORED_ENTRIES = 1_000
 
 
 class EventLog:
@@ -35,17 +35,17 @@
 
     def __init__(self, metrics: PoolMetrics) -> None:
         self._metrics = metrics
-        self._lost: set[str] = set()
-        self._ignored: dict[str, str] = {}
+        self._unavailable: set[str] = set()
+        self._ignored_reasons: dict[str, str] = {}
 
     # Jobs
 
     def answered(
-        self, active: ActiveBatch, result: BatchResult, took: timedelta
+        self, active: ActiveBatch, result: BatchResult, elapsed: timedelta
     ) -> None:
         """Record the result of a job."""
         objective = active.due - active.arrived
-        self._metrics.count_answer(result, took, objective)
+        self._metrics.count_answer(result, elapsed, objective)
         reason = result.reason.value if result.reason else None
         log_message(
             "brasstray:answer",
@@ -54,7 +54,7 @@
             tasks=sum(step.count for step in active.batch.steps),
             outcome=result.outcome.value,
             reason=reason,
-            took_ms=took // _MILLISECOND,
+            took_ms=elapsed // _MILLISECOND,
             objective_ms=objective // _MILLISECOND,
             timeout_ms=(active.limit - active.arrived) // _MILLISECOND,
             unfinished={
@@ -96,13 +96,13 @@
             wanted=record.task is not None,
         )
 
-    def refused(self, minion: Minion, record: RunRecord, why: StartRefusal) -> None:
+    def refused(self, minion: Minion, record: RunRecord, reason: StartRefusal) -> None:
         """Record that a minion refused a start."""
-        self._metrics.count_retry(why.value)
+        self._metrics.count_retry(reason.value)
         log_message(
             "brasstray:start_refused",
             **_run_fields(minion, record),
-            reason=why.value,
+            reason=reason.value,
         )
 
     def unanswered(self, minion: Minion, record: RunRecord) -> None:
@@ -153,11 +153,11 @@
             given_up=given_up,
         )
 
-    def suspected(self, minion: Minion, why: Evidence) -> None:
+    def suspected(self, minion: Minion, reason: Evidence) -> None:
         """Record that a minion is suspected and gets no tasks for a while."""
-        self._metrics.count_reason(f"suspected_{why.value}")
+        self._metrics.count_reason(f"suspected_{reason.value}")
         log_message(
-            "brasstray:minion_suspected", minion=minion.entry.id, evidence=why.value
+            "brasstray:minion_suspected", minion=minion.entry.id, evidence=reason.value
         )
 
     def trusted(self, minion: Minion) -> None:
@@ -197,11 +197,11 @@
             evacuated=evacuated,
         )
 
-    def dropped(self, step: StepTasks, why: str) -> None:
+    def dropped(self, step: StepTasks, reason: str) -> None:
         """Record that the tasks of a step are no longer needed."""
-        self._metrics.count_reason(f"dropped_{why}")
+        self._metrics.count_reason(f"dropped_{reason}")
         log_message(
-            "brasstray:dropped", job=step.batch, tasks=len(step.tasks), reason=why
+            "brasstray:dropped", job=step.batch, tasks=len(step.tasks), reason=reason
         )
 
     # The host
@@ -234,17 +234,17 @@
         self._metrics.count_config_bytes("unneeded", size)
         log_message("brasstray:config_unneeded", source=source, bytes=size)
 
-    def config_unreadable(self, source: str, why: str) -> None:
+    def config_unreadable(self, source: str, reason: str) -> None:
         """Record that a configuration cannot be parsed; the last one stays in force."""
-        log_message("brasstray:config_unreadable", source=source, reason=why)
+        log_message("brasstray:config_unreadable", source=source, reason=reason)
 
-    def evacuations_changed(self, found: EvacuationSet, source: str) -> None:
+    def evacuations_changed(self, evacuations: EvacuationSet, source: str) -> None:
         """Record that the set of evacuated data centres has changed."""
         self._metrics.count_reason("evacuations_changed")
         log_message(
             "brasstray:evacuations_changed",
-            data_centres=sorted(found.data_centres),
-            as_of=found.as_of,
+            data_centres=sorted(evacuations.data_centres),
+            as_of=evacuations.as_of,
             source=source,
         )
 
@@ -255,66 +255,66 @@
             "brasstray:refused", job=job, reason=reason.value, detail=detail[:200]
         )
 
-    def entry_ignored(self, name: str, why: str) -> None:
+    def entry_ignored(self, name: str, reason: str) -> None:
         """Record an ignored entry of the store; log it when the reason changes."""
-        if self._ignored.get(name) == why:
+        if self._ignored_reasons.get(name) == reason:
             return
-        if len(self._ignored) >= MOST_IGNORED:
-            self._ignored.clear()
-        self._ignored[name] = why
+        if len(self._ignored_reasons) >= MAX_IGNORED_ENTRIES:
+            self._ignored_reasons.clear()
+        self._ignored_reasons[name] = reason
         self._metrics.count_reason("entry_ignored")
-        log_message("brasstray:entry_ignored", name=name, reason=why[:200])
+        log_message("brasstray:entry_ignored", name=name, reason=reason[:200])
 
-    def history_lost(self, what: str) -> None:
+    def history_lost(self, name: str) -> None:
         """Record that the store has discarded its history and is read in full."""
-        log_message("brasstray:history_lost", what=what)
+        log_message("brasstray:history_lost", what=name)
 
-    def store_lost(self, what: str, why: str) -> None:
-        """Record a failed request for `what` to the store; log it once per outage."""
+    def store_lost(self, name: str, reason: str) -> None:
+        """Record a failed request for `name` to the store; log it once per outage."""
         self._metrics.count_reason("store_unavailable")
-        if what not in self._lost:
-            self._lost.add(what)
-            log_message("brasstray:store_lost", what=what, reason=why)
+        if name not in self._unavailable:
+            self._unavailable.add(name)
+            log_message("brasstray:store_lost", what=name, reason=reason)
 
-    def store_back(self, what: str) -> None:
-        """Record that the store answers requests for `what` again."""
-        if what in self._lost:
-            self._lost.discard(what)
-            log_message("brasstray:store_back", what=what)
+    def store_back(self, name: str) -> None:
+        """Record that the store answers requests for `name` again."""
+        if name in self._unavailable:
+            self._unavailable.discard(name)
+            log_message("brasstray:store_back", what=name)
 
-    def pool_taken(self, pool: PoolId, token: FencingToken, why: str) -> None:
+    def pool_taken(self, pool: PoolId, token: FencingToken, reason: str) -> None:
         """Record that this host owns a pool."""
         self._metrics.count_reason("pool_taken")
-        log_message("brasstray:pool_taken", pool=pool, token=token, reason=why)
+        log_message("brasstray:pool_taken", pool=pool, token=token, reason=reason)
 
     def pool_moving(self, pool: PoolId, to: HostName) -> None:
         """Record that a host with more power is asked to take the pool."""
         self._metrics.count_reason("pool_moving")
         log_message("brasstray:pool_moving", pool=pool, to=to)
 
-    def pool_left(self, pool: PoolId, token: FencingToken, why: str) -> None:
+    def pool_left(self, pool: PoolId, token: FencingToken, reason: str) -> None:
         """Record that this host no longer owns a pool."""
-        log_message("brasstray:pool_left", pool=pool, token=token, reason=why)
+        log_message("brasstray:pool_left", pool=pool, token=token, reason=reason)
 
-    def pool_claim_failed(self, pool: PoolId, why: str) -> None:
+    def pool_claim_failed(self, pool: PoolId, reason: str) -> None:
         """Record that another host was faster, or that the store gave no answer."""
-        log_message("brasstray:pool_claim_failed", pool=pool, reason=why)
+        log_message("brasstray:pool_claim_failed", pool=pool, reason=reason)
 
     def link_up(self, pool: PoolId, host: str) -> None:
         """Record that the owner of a pool is reachable."""
         log_message("brasstray:owner_reached", pool=pool, host=host)
 
-    def link_down(self, pool: PoolId, host: str, why: str) -> None:
+    def link_down(self, pool: PoolId, host: str, reason: str) -> None:
         """Record that the owner of a pool is unreachable."""
-        log_message("brasstray:owner_lost", pool=pool, host=host, reason=why)
+        log_message("brasstray:owner_lost", pool=pool, host=host, reason=reason)
 
     def requester_up(self, host: str) -> None:
         """Record that a host has opened a link to this one."""
         log_message("brasstray:requester_reached", host=host)
 
-    def requester_lost(self, host: str, why: str) -> None:
+    def requester_lost(self, host: str, reason: str) -> None:
         """Record that a host that requested tasks is unreachable."""
-        log_message("brasstray:requester_lost", host=host, reason=why)
+        log_message("brasstray:requester_lost", host=host, reason=reason)
 
     def loop_late(self, milliseconds: int) -> None:
         """Record that the event loop of this process lagged by too much."""
--- a/src/brasstray/host/host_events.py
+++ b/src/brasstray/host/host_events.py
@@ -32,49 +32,49 @@
     def config_unneeded(self, source: str, size: int) -> None:
         """Record that `size` bytes of text were received and discarded."""
 
-    def config_unreadable(self, source: str, why: str) -> None:
+    def config_unreadable(self, source: str, reason: str) -> None:
         """Record that a configuration cannot be parsed; the last one stays in force."""
 
-    def evacuations_changed(self, found: EvacuationSet, source: str) -> None:
+    def evacuations_changed(self, evacuations: EvacuationSet, source: str) -> None:
         """Record that the set of evacuated data centres has changed."""
 
     def request_refused(self, job: str, reason: GiveUpReason, detail: str) -> None:
         """Record that a request was refused before any task of it was queued."""
 
-    def entry_ignored(self, name: str, why: str) -> None:
+    def entry_ignored(self, name: str, reason: str) -> None:
         """Record that an invalid entry of the store is ignored."""
 
-    def history_lost(self, what: str) -> None:
+    def history_lost(self, name: str) -> None:
         """Record that the store has discarded its history and is read in full."""
 
-    def store_lost(self, what: str, why: str) -> None:
-        """Record a failed request for `what` to the store; log it once per outage."""
+    def store_lost(self, name: str, reason: str) -> None:
+        """Record a failed request for `name` to the store; log it once per outage."""
 
-    def store_back(self, what: str) -> None:
-        """Record that the store answers requests for `what` again."""
+    def store_back(self, name: str) -> None:
+        """Record that the store answers requests for `name` again."""
 
-    def pool_taken(self, pool: PoolId, token: FencingToken, why: str) -> None:
+    def pool_taken(self, pool: PoolId, token: FencingToken, reason: str) -> None:
         """Record that this host owns a pool."""
 
     def pool_moving(self, pool: PoolId, to: HostName) -> None:
         """Record that a host with more power is asked to take the pool."""
 
-    def pool_left(self, pool: PoolId, token: FencingToken, why: str) -> None:
+    def pool_left(self, pool: PoolId, token: FencingToken, reason: str) -> None:
         """Record that this host no longer owns a pool."""
 
-    def pool_claim_failed(self, pool: PoolId, why: str) -> None:
+    def pool_claim_failed(self, pool: PoolId, reason: str) -> None:
         """Record that another host was faster, or that the store gave no answer."""
 
     def link_up(self, pool: PoolId, host: str) -> None:
         """Record that the owner of a pool is reachable."""
 
-    def link_down(self, pool: PoolId, host: str, why: str) -> None:
+    def link_down(self, pool: PoolId, host: str, reason: str) -> None:
         """Record that the owner of a pool is unreachable."""
 
     def requester_up(self, host: str) -> None:
         """Record that a host has opened a link to this one."""
 
-    def requester_lost(self, host: str, why: str) -> None:
+    def requester_lost(self, host: str, reason: str) -> None:
         """Record that a host that requested tasks is unreachable."""
 
     def loop_late(self, milliseconds: int) -> None:
--- a/src/brasstray/host/host_status.py
+++ b/src/brasstray/host/host_status.py
@@ -98,21 +98,23 @@
 def host_status(host: PoolHost) -> HostStatus:
     """Return the status of `host` as it is known without asking the store."""
     owner = host.owner
-    unasked = host.unasked
+    unlinked = host.unasked
     return HostStatus(
         host=host.identity.host,
         incarnation=host.identity.incarnation,
         state=_state(host),
         config_version=host.config.version,
-        evacuations=_evacuations(host.evacuations),
+        evacuations=_evacuation_status(host.evacuations),
         jobs=host.coordinator.active,
-        owned=None if owner is None else _owned(owner, host.owned_confirmed_ago),
+        owned=None
+        if owner is None
+        else _owned_pool_status(owner, host.owned_confirmed_ago),
         owners=tuple(
             OwnerStatus(
                 pool=pool,
                 host=owned.owner.host,
                 token=owned.token,
-                in_reach=None if pool in unasked else pool in host.reachable,
+                in_reach=None if pool in unlinked else pool in host.reachable,
             )
             for pool, owned in sorted(host.owners.items())
         ),
@@ -120,12 +122,12 @@
     )
 
 
-def _evacuations(found: Evacuations) -> EvacuationStatus:
+def _evacuation_status(evacuations: Evacuations) -> EvacuationStatus:
     return EvacuationStatus(
-        data_centres=tuple(sorted(found.current.data_centres)),
-        as_of=found.current.as_of,
-        source=found.source,
-        heard_ms_ago=found.heard_ago // _MILLISECOND,
+        data_centres=tuple(sorted(evacuations.current.data_centres)),
+        as_of=evacuations.current.as_of,
+        source=evacuations.source,
+        heard_ms_ago=evacuations.age // _MILLISECOND,
     )
 
 
@@ -135,7 +137,7 @@
     return "ready" if host.ready else "not ready"
 
 
-def _owned(owner: PoolOwner, confirmed_ago: timedelta) -> OwnedPoolStatus:
+def _owned_pool_status(owner: PoolOwner, confirmed_ago: timedelta) -> OwnedPoolStatus:
     load = owner.load()
     return OwnedPoolStatus(
         pool=owner.pool,
@@ -144,11 +146,11 @@
         recovered=owner.recovered,
         free_slots=load.free_slots,
         wait_ms=load.wait_ms,
-        minions=tuple(_minion(minion) for minion in owner.minions),
+        minions=tuple(_minion_status(minion) for minion in owner.minions),
     )
 
 
-def _minion(minion: Minion) -> MinionStatus:
+def _minion_status(minion: Minion) -> MinionStatus:
     return MinionStatus(
         id=minion.entry.id,
         reach=minion.reach.value,
--- a/src/brasstray/host/minion_feed.py
+++ b/src/brasstray/host/minion_feed.py
@@ -61,14 +61,14 @@
         while True:
             try:
                 listed = await self._list.minions(self._data_centre)
-                owner.list_minions(self._of_known_services(listed))
-                self._tell_changes(owner)
+                owner.list_minions(self._filter_known_services(listed))
+                self._publish_changes(owner)
                 self._events.store_back("minions")
             except StoreUnavailableError as error:
                 self._events.store_lost("minions", str(error))
             await self._clock.sleep(self._timing.pool.list_interval)
 
-    def _of_known_services(self, listed: list[MinionEntry]) -> list[MinionEntry]:
+    def _filter_known_services(self, listed: list[MinionEntry]) -> list[MinionEntry]:
         """Leave out minions of services that the configuration does not name."""
         config = self._config.current
         if config is None:
@@ -81,7 +81,7 @@
                 self._events.entry_ignored(entry.id, f"service {entry.service!r}")
         return known
 
-    def _tell_changes(self, owner: PoolOwner) -> None:
+    def _publish_changes(self, owner: PoolOwner) -> None:
         held = tuple(minion.entry for minion in owner.minions)
         if held != self._held:
             self._held = held
--- a/src/brasstray/host/operator_feed.py
+++ b/src/brasstray/host/operator_feed.py
@@ -39,27 +39,27 @@
         """Watch the store until cancelled."""
         await follow_store(
             "configuration",
-            self._learn_after,
+            self._apply_changes_after,
             self._clock,
             self._timing.store_retry,
             self._events,
         )
 
-    async def _learn_after(self, as_of: int | None) -> int:
+    async def _apply_changes_after(self, as_of: int | None) -> int:
         try:
-            found = await self._after(as_of)
+            entries = await self._read_after(as_of)
         except StoreUnavailableError:
-            self._config.note_store(answers=False)
+            self._config.record_store_response(answered=False)
             raise
-        self._config.note_store(answers=True)
+        self._config.record_store_response(answered=True)
         # Evacuations first: they must apply even if the configuration cannot be read.
-        self._evacuations.learn(found, whole=as_of is None)
-        if found.unreadable is not None:
-            self._events.config_unreadable("store", found.unreadable)
-        self._config.adopt(found.configuration, "store")
-        return found.as_of
+        self._evacuations.apply_entries(entries, full=as_of is None)
+        if entries.unreadable is not None:
+            self._events.config_unreadable("store", entries.unreadable)
+        self._config.adopt(entries.configuration, "store")
+        return entries.as_of
 
-    async def _after(self, as_of: int | None) -> OperatorEntries:
+    async def _read_after(self, as_of: int | None) -> OperatorEntries:
         if as_of is None:
             return await self._source.read()
         return await self._source.wait(as_of, self._timing.config_watch)
--- a/src/brasstray/host/operator_knowledge.py
+++ b/src/brasstray/host/operator_knowledge.py
@@ -65,20 +65,20 @@
         self,
         host: str,
         message: Hello | Ping | PoolState,
-        tell: Callable[[PoolMessage], None],
+        send: Callable[[PoolMessage], None],
     ) -> None:
-        """Take over what is newer on `host`; `tell` sends a message to it."""
+        """Take over what is newer on `host`; `send` sends a message to it."""
         self._evacuations.adopt(message.evacuations, host)
-        self._exchange.hear(host, message.config_version, tell)
+        self._exchange.record_version(host, message.config_version, send)
 
     def take(
         self,
         host: str,
         message: ConfigWanted | ConfigPart,
-        tell: Callable[[PoolMessage], None],
+        send: Callable[[PoolMessage], None],
     ) -> None:
         """Handle a request for a configuration, or a part of one, from `host`."""
-        self._exchange.take(host, message, tell)
+        self._exchange.handle_message(host, message, send)
 
 
 __all__ = ["OperatorKnowledge"]
--- a/src/brasstray/host/store_follower.py
+++ b/src/brasstray/host/store_follower.py
@@ -15,31 +15,31 @@
 
 
 async def follow_store(
-    what: str,
-    learn_after: Callable[[int | None], Awaitable[int]],
+    name: str,
+    read_after: Callable[[int | None], Awaitable[int]],
     clock: Clock,
-    pause: timedelta,
+    retry_delay: timedelta,
     events: HostEvents,
 ) -> None:
-    """Call `learn_after` in a loop with the last store version that it returned.
+    """Call `read_after` in a loop with the last store version that it returned.
 
     It is called with None to read everything, and returns the version that it reached.
     The version is kept after a failed call, so that hosts don't fetch a large text with
-    each retry while the store or the network fails repeatedly. The pause limits the
+    each retry while the store or the network fails repeatedly. The delay limits the
     load on a store that discards its history faster than hosts can read it.
     """
     as_of: int | None = None
     while True:
         try:
-            as_of = await learn_after(as_of)
-            events.store_back(what)
+            as_of = await read_after(as_of)
+            events.store_back(name)
         except HistoryLostError:
             as_of = None
-            events.history_lost(what)
-            await clock.sleep(pause)
+            events.history_lost(name)
+            await clock.sleep(retry_delay)
         except StoreUnavailableError as error:
-            events.store_lost(what, str(error))
-            await clock.sleep(pause)
+            events.store_lost(name, str(error))
+            await clock.sleep(retry_delay)
 
 
 __all__ = ["follow_store"]
--- a/tests/host/test_config_fetch.py
+++ b/tests/host/test_config_fetch.py
@@ -11,7 +11,7 @@
 from brasstray.batch.configuration import Configuration
 from brasstray.batch.ids import ConfigVersion
 from brasstray.clock.loop import LoopClock
-from brasstray.host.config_exchange import PART_BYTES, part_for
+from brasstray.host.config_exchange import PART_BYTES, requested_part
 from brasstray.host.config_fetch import ConfigFetch
 from brasstray.host.current_config import CurrentConfig
 from brasstray.host.evacuations import Evacuations
@@ -97,7 +97,7 @@
 
     async def _answer(self, wanted):
         await anyio.sleep(self.delay)
-        self.fetch.take(self.name, part_for(wanted, self.current))
+        self.fetch.receive_part(self.name, requested_part(wanted, self.current))
 
 
 def play(story, store=None):
@@ -208,7 +208,7 @@
         config.adopt(configuration(3), "store")
         old = configuration(2, size=100)
         wanted = type("Wanted", (), {"version": 2, "offset": 0})
-        fetch.take("a", part_for(wanted, old))
+        fetch.receive_part("a", requested_part(wanted, old))
         await anyio.sleep(1)
         return config.version, notes.count("config_unneeded")
 
