--- a/tests/host/conftest.py
+++ b/tests/host/conftest.py
@@ -15,18 +15,18 @@
 def play_pools():
     """Return a function that runs a scenario in a settled system, then stops it."""
 
-    def run(story, size=None, seed=1, schedule=SCHEDULE_SEED):
-        async def whole():
+    def run(scenario, size=None, seed=1, schedule=SCHEDULE_SEED):
+        async def run_system():
             async with anyio.create_task_group() as group:
                 metrics = PoolMetrics(NoOpMeterProvider().get_meter("test"))
                 system = PoolSystem(group, metrics, size or PoolSystemSize(), seed)
                 system.start_all()
                 await system.settle()
                 with anyio.fail_after(600):
-                    result = await story(system)
+                    result = await scenario(system)
                 group.cancel_scope.cancel()
             return result, system
 
-        return run_virtual(whole, schedule)
+        return run_virtual(run_system, schedule)
 
     return run
--- a/tests/host/test_config_fetch.py
+++ b/tests/host/test_config_fetch.py
@@ -23,28 +23,28 @@
 TIMING = HostTiming()
 SECOND = timedelta(seconds=1)
 # Four parts, the last of them short.
-SIZE = 3 * PART_BYTES + 100
+TEXT_SIZE = 3 * PART_BYTES + 100
 
 
-def configuration(version, size=SIZE):
+def configuration(version, size=TEXT_SIZE):
     text = b"%d:" % version + b"r" * (size - 2)
     return Configuration(ConfigVersion(version), (), text=text)
 
 
-class Notes:
+class EventRecorder:
     """Record the events of a host."""
 
     def __init__(self):
-        self.seen = []
+        self.recorded = []
 
     def __getattr__(self, name):
-        return lambda *args: self.seen.append((name, *args))
+        return lambda *args: self.recorded.append((name, *args))
 
     def count(self, name):
-        return sum(event[0] == name for event in self.seen)
+        return sum(event[0] == name for event in self.recorded)
 
 
-class Store:
+class ScriptedStore:
     """Answer each request with the next of `answers`, and block after the last.
 
     An answer is a version, None for no change, or an error.
@@ -100,40 +100,40 @@
         self.fetch.receive_part(self.name, requested_part(wanted, self.current))
 
 
-def play(story, store=None):
-    """Run `story` with a fetch, its configuration and its events; return its result."""
+def run_with_fetch(scenario, store=None):
+    """Run `scenario` with a fetch, its configuration and events; return its result."""
 
-    async def whole():
-        notes, clock = Notes(), LoopClock()
-        config = CurrentConfig(store or Store(), notes)
-        fetch = ConfigFetch(config, clock, TIMING, notes)
+    async def run_scenario():
+        events, clock = EventRecorder(), LoopClock()
+        config = CurrentConfig(store or ScriptedStore(), events)
+        fetch = ConfigFetch(config, clock, TIMING, events)
         async with anyio.create_task_group() as group:
             group.start_soon(fetch.run)
-            result = await story(fetch, config, notes, group)
+            result = await scenario(fetch, config, events, group)
             group.cancel_scope.cancel()
         return result
 
-    return run_virtual(whole)
+    return run_virtual(run_scenario)
 
 
 def test_a_text_is_asked_for_once_however_often_its_version_is_told():
     # Heartbeats keep naming the newer version while its text is in transit over a slow
     # link. Each of them used to cause another transfer of the whole text.
-    async def story(fetch, config, notes, group):
+    async def scenario(fetch, config, events, group):
         peer = Peer(fetch, "a", 2, delay=0.3)
         for _ in range(20):
             peer.offer(group)
             await anyio.sleep(0.15)
         return peer.asked, config.version
 
-    asked, version = play(story)
+    asked, version = run_with_fetch(scenario)
     assert version == 2
     assert asked == [0, PART_BYTES, 2 * PART_BYTES, 3 * PART_BYTES]
 
 
 def test_the_store_is_given_time_to_bring_the_change():
     # A heartbeat names a version that the store is about to deliver to every host.
-    async def story(fetch, config, notes, group):
+    async def scenario(fetch, config, events, group):
         peer = Peer(fetch, "a", 2)
         peer.offer(group)
         await anyio.sleep(TIMING.config_head_start.total_seconds() / 2)
@@ -141,26 +141,31 @@
         await anyio.sleep(1)
         return peer.asked
 
-    assert play(story) == []
+    assert run_with_fetch(scenario) == []
 
 
 def test_another_host_goes_on_where_the_first_one_fell_silent():
     # The first host fails after two parts. Received parts are not fetched again.
-    async def story(fetch, config, notes, group):
+    async def scenario(fetch, config, events, group):
         first, second = Peer(fetch, "a", 2, answers=2), Peer(fetch, "b", 2)
         first.offer(group)
         second.offer(group)
         await anyio.sleep(2)
-        return first.asked, second.asked, config.version, notes.count("config_not_told")
-
-    first, second, version, silent = play(story)
+        return (
+            first.asked,
+            second.asked,
+            config.version,
+            events.count("config_not_told"),
+        )
+
+    first, second, version, silent = run_with_fetch(scenario)
     assert first == [0, PART_BYTES, 2 * PART_BYTES]
     assert second == [2 * PART_BYTES, 3 * PART_BYTES]
     assert (version, silent) == (2, 1)
 
 
 def test_a_host_that_was_silent_is_asked_again_once_it_is_heard_of():
-    async def story(fetch, config, notes, group):
+    async def scenario(fetch, config, events, group):
         peer = Peer(fetch, "a", 2, answers=1)
         peer.offer(group)
         await anyio.sleep(2)
@@ -170,14 +175,14 @@
         await anyio.sleep(2)
         return asked, peer.asked[len(asked) :], config.version
 
-    before, after, version = play(story)
+    before, after, version = run_with_fetch(scenario)
     assert before == [0, PART_BYTES]
     assert after == [PART_BYTES, 2 * PART_BYTES, 3 * PART_BYTES]
     assert version == 2
 
 
 def test_a_version_that_follows_while_the_text_is_fetched_is_fetched_instead():
-    async def story(fetch, config, notes, group):
+    async def scenario(fetch, config, events, group):
         peer = Peer(fetch, "a", 2)
         peer.offer(group)
         start = TIMING.config_head_start.total_seconds()
@@ -186,12 +191,12 @@
         await anyio.sleep(2)
         return config.current
 
-    assert play(story).text == configuration(3).text
+    assert run_with_fetch(scenario).text == configuration(3).text
 
 
 def test_a_text_that_cannot_be_read_is_not_fetched_again():
     # Every heartbeat still names the version, and every fetch of it would fail again.
-    async def story(fetch, config, notes, group):
+    async def scenario(fetch, config, events, group):
         peers = [Peer(fetch, "a", 9), Peer(fetch, "b", 9)]
         for _ in range(10):
             for peer in peers:
@@ -199,20 +204,20 @@
             await anyio.sleep(0.3)
         return len(peers[0].asked) + len(peers[1].asked), config.current
 
-    assert play(story) == (4, None)
+    assert run_with_fetch(scenario) == (4, None)
 
 
 def test_an_old_answer_takes_no_change_back():
     # A delayed part arrives after a newer configuration is in force.
-    async def story(fetch, config, notes, group):
+    async def scenario(fetch, config, events, group):
         config.adopt(configuration(3), "store")
         old = configuration(2, size=100)
         wanted = type("Wanted", (), {"version": 2, "offset": 0})
         fetch.receive_part("a", requested_part(wanted, old))
         await anyio.sleep(1)
-        return config.version, notes.count("config_unneeded")
+        return config.version, events.count("config_unneeded")
 
-    assert play(story) == (3, 1)
+    assert run_with_fetch(scenario) == (3, 1)
 
 
 @pytest.mark.parametrize(
@@ -228,15 +233,15 @@
 def test_the_store_is_read_in_full_only_where_nothing_else_helps(answers, reads):
     # While the store fails repeatedly, each retry used to read the whole text again:
     # hundreds of kilobytes for every host, seven times a second.
-    store = Store(*answers)
+    store = ScriptedStore(*answers)
 
-    async def story(fetch, config, notes, group):
+    async def scenario(fetch, config, events, group):
         clock = LoopClock()
-        evacuations = Evacuations(frozenset(), clock, notes)
-        feed = OperatorFeed(store, config, evacuations, clock, TIMING, notes)
+        evacuations = Evacuations(frozenset(), clock, events)
+        feed = OperatorFeed(store, config, evacuations, clock, TIMING, events)
         group.start_soon(feed.follow)
         await anyio.sleep(3)
         return config.version
 
-    assert play(story, store) == 2
+    assert run_with_fetch(scenario, store) == 2
     assert store.asked.count("read") == reads
--- a/tests/host/test_evacuation.py
+++ b/tests/host/test_evacuation.py
@@ -36,91 +36,93 @@
     return [at for at in system.starts_in(centre) if first <= at < last]
 
 
-async def strike_calm(system):
+async def no_fault(system):
     del system
 
 
-async def strike_killed(system):
+async def kill_owner(system):
     system.kill(system.owner())
 
 
-async def strike_killed_in_a_row(system):
+async def kill_owners_in_a_row(system):
     for _ in range(2):
         system.kill(system.owner())
         await system.clock.sleep(SECOND)
 
 
-async def strike_refused(system):
+async def refuse_owner(system):
     system.store.cut.add(system.owner())
 
 
-async def strike_refused_and_killed(system):
+async def kill_owner_and_refuse_successor(system):
     system.store.cut.add(system.other())
     system.kill(system.owner())
 
 
-async def strike_silent_watches(system):
+async def silence_watches_for_a_while(system):
     # Each host abandons its watch after 1.9 s, and a new connection works.
     system.store.silent_watches.update(system.hosts)
     await system.clock.sleep(ms(1_900))
     system.store.silent_watches.clear()
 
 
-async def strike_deaf_centre(system):
+async def silence_watches_of_centre(system):
     inside = (name for name in system.hosts if name.startswith("dc0"))
     system.store.silent_watches.update(inside)
 
 
-async def strike_refused_centre(system):
+async def refuse_centre(system):
     system.store.cut.update(name for name in system.hosts if name.startswith("dc0"))
 
 
-async def strike_history_lost(system):
+async def lose_history(system):
     system.store.compact()
 
 
-async def strike_drained(system):
+async def drain_owner(system):
     system.hosts[system.owner()].host.drain()
 
 
-STRIKES = {
-    "calm": strike_calm,
-    "owner killed": strike_killed,
-    "owners killed in a row": strike_killed_in_a_row,
-    "owner refused by the store": strike_refused,
-    "owner killed, successor refused": strike_refused_and_killed,
-    "watches silent for a while": strike_silent_watches,
-    "the data centre hears nothing from the store": strike_deaf_centre,
-    "the data centre is refused by the store": strike_refused_centre,
-    "history lost": strike_history_lost,
-    "owner leaves": strike_drained,
+FAULTS = {
+    "calm": no_fault,
+    "owner killed": kill_owner,
+    "owners killed in a row": kill_owners_in_a_row,
+    "owner refused by the store": refuse_owner,
+    "owner killed, successor refused": kill_owner_and_refuse_successor,
+    "watches silent for a while": silence_watches_for_a_while,
+    "the data centre hears nothing from the store": silence_watches_of_centre,
+    "the data centre is refused by the store": refuse_centre,
+    "history lost": lose_history,
+    "owner leaves": drain_owner,
 }
 
 
-@pytest.mark.parametrize("moment", [-300, 0, 300])
-@pytest.mark.parametrize("strike", STRIKES.values(), ids=STRIKES.keys())
-def test_nothing_starts_in_an_evacuated_data_centre(play_pools, strike, moment):
+@pytest.mark.parametrize("offset_ms", [-300, 0, 300])
+@pytest.mark.parametrize("inject_fault", FAULTS.values(), ids=FAULTS.keys())
+def test_nothing_starts_in_an_evacuated_data_centre(
+    play_pools, inject_fault, offset_ms
+):
     # A task that starts after the bound would be interrupted by maintenance. Around the
     # time of the evacuation the owner of the pool is killed, drained or refused by the
     # store, or its watch of the store goes silent, so that it may miss the evacuation.
-    async def story(system):
+    async def scenario(system):
         async with anyio.create_task_group() as group:
             load = Load(system, group)
             group.start_soon(load.run, 220)
             await system.clock.sleep(SECOND)
-            if moment < 0:
-                group.start_soon(strike, system)
-                await system.clock.sleep(ms(-moment))
-            began = system.evacuate("dc0")
-            if moment >= 0:
-                await system.clock.sleep(ms(moment))
-                group.start_soon(strike, system)
-        return began, load
-
-    (began, load), system = play_pools(story, THREE_CENTRES)
+            if offset_ms < 0:
+                group.start_soon(inject_fault, system)
+                await system.clock.sleep(ms(-offset_ms))
+            evacuated_at = system.evacuate("dc0")
+            if offset_ms >= 0:
+                await system.clock.sleep(ms(offset_ms))
+                group.start_soon(inject_fault, system)
+        return evacuated_at, load
+
+    (evacuated_at, load), system = play_pools(scenario, THREE_CENTRES)
     assert system.book.broken == []
-    assert starts_between(system, "dc0", began + BOUND, timedelta.max) == []
-    assert starts_between(system, "dc0", began - SECOND, began)
+    assert starts_between(system, "dc0", evacuated_at + BOUND, timedelta.max) == []
+    assert starts_between(system, "dc0", evacuated_at - SECOND, evacuated_at)
     answered = load.outcomes()
     assert load.succeeded >= len(answered) - 12
 
@@ -128,7 +130,7 @@
 def test_callers_of_an_evacuated_data_centre_are_served_elsewhere(play_pools):
     # Half of the minions are evacuated, and the others have capacity for all jobs. No
     # caller is affected, whether its tasks are running then or it submits later.
-    async def story(system):
+    async def scenario(system):
         async with anyio.create_task_group() as group:
             load = Load(system, group)
             group.start_soon(load.run, 100)
@@ -136,7 +138,7 @@
             system.evacuate("dc0")
         return load
 
-    load, system = play_pools(story)
+    load, system = play_pools(scenario)
     assert load.outcomes() == [BatchOutcome.SUCCEEDED] * 100
     assert max(took for _, _, took in load.results.values()) < ms(200)
 
@@ -147,7 +149,7 @@
     # has free slots: the job must not stay queued for slots that it will never get.
     size = PoolSystemSize(data_centres=2, hosts_each=2, minions_each=1)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(700))
         found = {}
 
@@ -164,7 +166,7 @@
             system.evacuate("dc0")
         return found
 
-    found, system = play_pools(story, size)
+    found, system = play_pools(scenario, size)
     outcomes = [outcome for outcome, _ in found.values()]
     assert outcomes == [BatchOutcome.SUCCEEDED] * 3
     assert found["c"][1] < ms(1_450)
@@ -176,7 +178,7 @@
 def test_jobs_are_refused_at_once_if_every_data_centre_is_evacuated(play_pools):
     # No task can start until operators revoke an evacuation. Callers are refused at
     # once, with the outcome "not run" and the time after which to retry.
-    async def story(system):
+    async def scenario(system):
         system.evacuate("dc0")
         system.evacuate("dc1")
         await system.clock.sleep(SECOND)
@@ -187,7 +189,7 @@
         ]
         return results, system.clock.monotonic() - began
 
-    (results, took), system = play_pools(story)
+    (results, took), system = play_pools(scenario)
     for result in results:
         assert result.outcome is BatchOutcome.NOT_RUN
         assert result.reason is GiveUpReason.EVACUATED
@@ -198,7 +200,7 @@
 
 def test_a_data_centre_is_used_again_within_a_second(play_pools):
     # Half of the minions come back while the others are full, and are used at once.
-    async def story(system):
+    async def scenario(system):
         system.evacuate("dc0")
         async with anyio.create_task_group() as group:
             load = Load(system, group)
@@ -207,7 +209,7 @@
             resumed = system.resume("dc0")
         return resumed, load
 
-    (resumed, load), system = play_pools(story)
+    (resumed, load), system = play_pools(scenario)
     assert load.outcomes() == [BatchOutcome.SUCCEEDED] * 100
     assert starts_between(system, "dc0", resumed, resumed + SECOND)
 
@@ -215,7 +217,7 @@
 def test_hosts_that_were_all_restarted_know_of_an_evacuation(play_pools):
     # All hosts are killed while a data centre is evacuated, so none remembers it. A set
     # of evacuated data centres that was not read yet must not count as an empty set.
-    async def story(system):
+    async def scenario(system):
         system.evacuate("dc0")
         await system.clock.sleep(SECOND)
         names = {n: str(r.host.identity.data_centre) for n, r in system.hosts.items()}
@@ -230,7 +232,7 @@
             group.start_soon(load.run, 50)
         return began, load
 
-    (began, load), system = play_pools(story)
+    (began, load), system = play_pools(scenario)
     assert starts_between(system, "dc0", began, timedelta.max) == []
     assert load.succeeded >= 40
 
@@ -242,7 +244,7 @@
 def test_an_entry_of_another_writer_evacuates_nothing(play_pools, centre, value):
     # Another program has written an entry under the operators' prefix: its data centre
     # does not exist, or its value cannot be parsed. It must not cause an evacuation.
-    async def story(system):
+    async def scenario(system):
         system.evacuate(centre, value)
         await system.clock.sleep(SECOND)
         async with anyio.create_task_group() as group:
@@ -250,7 +252,7 @@
             group.start_soon(load.run, 50)
         return load
 
-    load, system = play_pools(story)
+    load, system = play_pools(scenario)
     assert load.outcomes() == [BatchOutcome.SUCCEEDED] * 50
     assert system.starts_in("dc0")
     assert system.starts_in("dc1")
@@ -263,13 +265,13 @@
     # A start after the bound would be in a data centre that operators believe empty.
     random = Random(seed)
 
-    async def emptied(system, centre, spans):
+    async def evacuate_and_resume(system, centre, spans):
         await system.clock.sleep(ms(random.randrange(500, 3_000)))
-        began = system.evacuate(centre)
+        evacuated_at = system.evacuate(centre)
         await system.clock.sleep(ms(random.randrange(5_200, 8_000)))
-        spans.append((centre, began + BOUND, system.resume(centre)))
+        spans.append((centre, evacuated_at + BOUND, system.resume(centre)))
 
-    async def trouble(system):
+    async def inject_faults(system):
         for _ in range(6):
             await system.clock.sleep(ms(random.randrange(300, 1_500)))
             centre = random.randrange(3)
@@ -286,17 +288,17 @@
                 case _:
                     system.store.compact()
 
-    async def story(system):
+    async def scenario(system):
         spans = []
         async with anyio.create_task_group() as group:
             load = Load(system, group)
             group.start_soon(load.run, 250)
-            group.start_soon(trouble, system)
+            group.start_soon(inject_faults, system)
             for centre in random.sample(system.centres, 2):
-                group.start_soon(emptied, system, centre, spans)
+                group.start_soon(evacuate_and_resume, system, centre, spans)
         return spans
 
-    spans, system = play_pools(story, THREE_CENTRES, seed=seed)
+    spans, system = play_pools(scenario, THREE_CENTRES, seed=seed)
     assert system.book.broken == []
     assert len(spans) == 2
     for centre, first, last in spans:
--- a/tests/host/test_host_status.py
+++ b/tests/host/test_host_status.py
@@ -12,13 +12,13 @@
 
 
 def test_an_owner_shows_its_pool_and_others_where_it_is(play_pools):
-    async def story(system):
+    async def scenario(system):
         owner, other = system.owner(), system.other()
         return {
             name: host_status(system.hosts[name].host) for name in (owner, other)
         }, owner
 
-    (found, owner), _ = play_pools(story)
+    (found, owner), _ = play_pools(scenario)
     for name, status in found.items():
         assert status.host == name
         assert status.state == "ready"
@@ -42,7 +42,7 @@
 
 
 def test_a_host_shows_what_is_evacuated_and_who_told(play_pools):
-    async def story(system):
+    async def scenario(system):
         before = host_status(system.hosts["dc0-h0"].host).evacuations
         system.store.cut.add("dc0-h0")
         system.evacuate("dc1")
@@ -52,7 +52,7 @@
             for name, running in system.hosts.items()
         }
 
-    (before, found), _ = play_pools(story)
+    (before, found), _ = play_pools(scenario)
     assert (before.data_centres, before.source) == ((), "store")
     for name, status in found.items():
         assert status.data_centres == ("dc1",)
@@ -61,12 +61,12 @@
 
 
 def test_a_host_that_leaves_says_so(play_pools):
-    async def story(system):
+    async def scenario(system):
         host = system.hosts[system.other()].host
         host.drain()
         return host_status(host).state
 
-    state, _ = play_pools(story)
+    state, _ = play_pools(scenario)
     assert state == "draining"
 
 
@@ -76,7 +76,7 @@
 # its watch of the store was lost. The status must confirm the ownership first.
 @pytest.mark.parametrize("watch", ["just told", "silent"])
 def test_a_host_whose_pool_was_taken_does_not_say_that_it_owns_it(play_pools, watch):
-    async def story(system):
+    async def scenario(system):
         owner = system.owner()
         if watch == "silent":
             system.store.silent_watches.add(owner)
@@ -87,7 +87,7 @@
         system.store.put(entry.name, msgspec.json.encode(newer))
         return await current_status(system.hosts[owner].host)
 
-    status, _ = play_pools(story)
+    status, _ = play_pools(scenario)
     assert status.owned is None
 
 
@@ -95,12 +95,12 @@
 def test_an_owner_says_how_old_the_confirmation_is(play_pools, away, least, most):
     # While the store is unavailable, the owner cannot know whether another host has
     # taken the pool. It goes on, and its status reports the age of the confirmation.
-    async def story(system):
+    async def scenario(system):
         owner = system.owner()
         if away:
             system.store.down = True
         await system.clock.sleep(timedelta(milliseconds=away))
         return await current_status(system.hosts[owner].host)
 
-    status, _ = play_pools(story)
+    status, _ = play_pools(scenario)
     assert least <= status.owned.confirmed_ms_ago <= most
--- a/tests/host/test_lost_history.py
+++ b/tests/host/test_lost_history.py
@@ -10,9 +10,9 @@
 from brasstray.store.errors import HistoryLostError, StoreUnavailableError
 from brasstray_standins.memory_store import StoreView
 
-WATCHED = timedelta(seconds=3)
+DURATION = timedelta(seconds=3)
 # One try per 150 ms for the configuration and for the pools, by each of six hosts.
-MOST_TRIES = 6 * 2 * (WATCHED / timedelta(milliseconds=150) + 1)
+MAX_TRIES = 6 * 2 * (DURATION / timedelta(milliseconds=150) + 1)
 
 
 # The store discards its history before hosts ask for the changes since their last read,
@@ -33,15 +33,15 @@
         calls["watch"] += 1
         raise error(prefix)
 
-    async def story(system):
+    async def scenario(system):
         monkeypatch.setattr(StoreView, "snapshot", counted)
         monkeypatch.setattr(StoreView, "watch", failing)
-        await system.clock.sleep(WATCHED)
+        await system.clock.sleep(DURATION)
         return system.hosts[system.owner()].host.owner is not None
 
-    owned, _ = play_pools(story)
+    owned, _ = play_pools(scenario)
     assert owned
-    assert calls["watch"] <= MOST_TRIES
+    assert calls["watch"] <= MAX_TRIES
     if error is StoreUnavailableError:
         # Each of two owners polls the list of minions twice a second.
-        assert calls["snapshot"] <= 2 * (WATCHED / timedelta(milliseconds=500) + 1)
+        assert calls["snapshot"] <= 2 * (DURATION / timedelta(milliseconds=500) + 1)
--- a/tests/host/test_pool_failures.py
+++ b/tests/host/test_pool_failures.py
@@ -33,86 +33,90 @@
 
 
 def test_a_calm_system_serves_every_job_in_time(play_pools):
-    async def story(system):
+    async def scenario(system):
         async def nothing():
             return None
 
         return await under_load(system, nothing)
 
-    load, system = play_pools(story)
+    load, system = play_pools(scenario)
     assert load.outcomes() == [BatchOutcome.SUCCEEDED] * 100
     assert max(took for _, _, took in load.results.values()) < ms(150)
     assert system.book.broken == []
     assert len(system.book.starts) == 300
 
 
-@pytest.mark.parametrize("fate", ["killed", "frozen", "cut off", "drained", "revoked"])
-def test_the_owner_of_a_pool_goes_away(play_pools, fate):
+@pytest.mark.parametrize(
+    "failure", ["killed", "frozen", "cut off", "drained", "revoked"]
+)
+def test_the_owner_of_a_pool_goes_away(play_pools, failure):
     # The owner of a pool crashes, freezes, is partitioned, drains or loses its entry in
     # the store while jobs run. Another host must take the pool over and extend the
     # leases of the runs, so that jobs of callers at other hosts still succeed.
-    async def story(system):
-        async def strike():
+    async def scenario(system):
+        async def inject_fault():
             name = system.owner()
-            if fate == "killed":
+            if failure == "killed":
                 system.kill(name)
-            elif fate == "frozen":
+            elif failure == "frozen":
                 system.hosts[name].gate.close()
                 await system.clock.sleep(3 * SECOND)
                 system.hosts[name].gate.open()
-            elif fate == "cut off":
+            elif failure == "cut off":
                 system.network.cut({name: 1})
                 system.store.cut.add(name)
                 await system.clock.sleep(3 * SECOND)
                 system.network.cut({})
                 system.store.cut.clear()
-            elif fate == "drained":
+            elif failure == "drained":
                 system.hosts[name].host.drain()
             else:
                 system.store.remove("brasstray/pools/dc0")
 
         name = system.owner()
-        return name, await under_load(system, strike)
+        return name, await under_load(system, inject_fault)
 
-    (struck, load), system = play_pools(story)
+    (failed_host, load), system = play_pools(scenario)
     elsewhere = [
-        result.outcome for name, result, _ in load.results.values() if name != struck
+        result.outcome
+        for name, result, _ in load.results.values()
+        if name != failed_host
     ]
     assert system.book.broken == []
     assert elsewhere.count(BatchOutcome.SUCCEEDED) == len(elsewhere)
-    if fate in ("drained", "revoked"):
+    if failure in ("drained", "revoked"):
         assert load.succeeded == 100
 
 
 def test_a_killed_owner_costs_its_data_centre_less_than_a_second(play_pools):
     # The owner is killed under load. Callers at the other hosts of its data centre may
     # wait for the takeover, but no longer than a second in all.
-    async def story(system):
-        async def strike():
+    async def scenario(system):
+        async def inject_fault():
             system.kill(system.owner())
 
-        return await under_load(system, strike)
+        return await under_load(system, inject_fault)
 
-    load, _ = play_pools(story)
+    load, _ = play_pools(scenario)
     assert max(took for _, _, took in load.results.values()) < SECOND
 
 
 def test_a_cut_off_data_centre_serves_its_own_callers(play_pools):
     # A data centre is partitioned from the store and from the other data centres. Its
     # own minions must go on serving its callers.
-    async def story(system):
+    async def scenario(system):
         inside = {f"dc0-h{n}": 1 for n in range(3)}
 
-        async def strike():
+        async def inject_fault():
             system.network.cut(inside)
             system.store.cut.update(inside)
             await system.clock.sleep(2 * SECOND)
             system.network.cut({})
             system.store.cut.clear()
 
-        return await under_load(system, strike)
+        return await under_load(system, inject_fault)
 
-    load, system = play_pools(story)
+    load, system = play_pools(scenario)
     assert system.book.broken == []
     assert load.succeeded >= 97
 
@@ -121,8 +125,8 @@
     # The store becomes unavailable just as the owner is told to drain. If it left at
     # once, no host could take the pool over, and all callers of the data centre would
     # be refused. It must stay until it has a successor.
-    async def story(system):
-        async def strike():
+    async def scenario(system):
+        async def inject_fault():
             system.store.down = True
             system.hosts[system.owner()].host.drain()
             await system.clock.sleep(2 * SECOND)
@@ -130,10 +134,10 @@
             await system.clock.sleep(SECOND)
 
         name = system.owner()
-        load = await under_load(system, strike)
+        load = await under_load(system, inject_fault)
         return load, name, system.owner()
 
-    (load, before, after), system = play_pools(story)
+    (load, before, after), system = play_pools(scenario)
     assert load.succeeded == 100
     assert after != before
     assert system.book.broken == []
@@ -143,15 +147,15 @@
 def test_the_store_is_away(play_pools, seconds):
     # The store is unavailable for seconds. Owners go on with their fencing tokens, as
     # no minion has seen a higher one, and no caller is affected.
-    async def story(system):
-        async def strike():
+    async def scenario(system):
+        async def inject_fault():
             system.store.down = True
             await system.clock.sleep(seconds * SECOND)
             system.store.down = False
 
-        return await under_load(system, strike, jobs=150)
+        return await under_load(system, inject_fault, jobs=150)
 
-    load, system = play_pools(story)
+    load, system = play_pools(scenario)
     assert load.succeeded == 150
     assert system.book.broken == []
 
@@ -160,7 +164,7 @@
     # A host is killed with a job running, and clients resubmit such a job to another
     # host 1.3 s later. By then no task of the first try may still run, or the same task
     # would run twice at the same time.
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(2_500))
         name = system.other()
         async with anyio.create_task_group() as group:
@@ -171,8 +175,8 @@
             await system.clock.sleep(ms(1_250))
             return [m.running for m in system.places.values() if m.running]
 
-    at_work, system = play_pools(story)
-    assert at_work == []
+    still_running, system = play_pools(scenario)
+    assert still_running == []
     assert len(system.book.starts) == 3
 
 
@@ -180,7 +184,7 @@
     # A host freezes for three seconds with a job running, and the pool stops the tasks
     # of that job. When it resumes, it must neither start them again beside the job that
     # the client has resubmitted elsewhere, nor answer that they did not run.
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(900))
         name = system.other()
         gate = system.hosts[name].gate
@@ -196,7 +200,7 @@
             gate.open()
         return load
 
-    load, system = play_pools(story)
+    load, system = play_pools(scenario)
     assert system.book.broken == []
 
 
@@ -208,45 +212,45 @@
     # A minion does not answer a start: it has started the task, or starts it seconds
     # later, after the task was retried elsewhere. The run must be stopped, or the late
     # start must be refused, before the task starts again.
-    async def story(system):
-        async def strike():
+    async def scenario(system):
+        async def inject_fault():
             for running in system.hosts.values():
                 setattr(running.calls, what, count)
             await system.clock.sleep(5 * SECOND)
 
-        return await under_load(system, strike)
+        return await under_load(system, inject_fault)
 
-    load, system = play_pools(story)
+    load, system = play_pools(scenario)
     assert system.book.broken == []
     assert load.succeeded == 100
 
 
-@pytest.mark.parametrize("fate", ["crashed", "cut off", "stuck", "slow", "failing"])
-def test_a_minion_goes_wrong(play_pools, fate):
+@pytest.mark.parametrize("failure", ["crashed", "cut off", "stuck", "slow", "failing"])
+def test_a_minion_goes_wrong(play_pools, failure):
     # One of four minions crashes, is partitioned, hangs, becomes slow or fails every
     # task. Its tasks must run elsewhere, once it is certain that their runs have ended,
     # and it must get no more tasks until it has proved to work.
-    async def story(system):
-        async def strike():
+    async def scenario(system):
+        async def inject_fault():
             minion = system.places["dc0-m1"]
-            if fate == "crashed":
+            if failure == "crashed":
                 minion.crash()
-            elif fate == "cut off":
+            elif failure == "cut off":
                 for running in system.hosts.values():
                     running.calls.cut.add(minion.entry.id)
                 await system.clock.sleep(2 * SECOND)
                 for running in system.hosts.values():
                     running.calls.cut.clear()
-            elif fate == "stuck":
+            elif failure == "stuck":
                 minion.stuck = True
-            elif fate == "slow":
+            elif failure == "slow":
                 minion.slowness = 8.0
             else:
                 minion.failing = True
 
-        return await under_load(system, strike)
+        return await under_load(system, inject_fault)
 
-    load, system = play_pools(story)
+    load, system = play_pools(scenario)
     assert system.book.broken == []
     assert load.succeeded >= 99
     late = sum(took > ms(400) for _, _, took in load.results.values())
@@ -256,13 +260,13 @@
 def test_a_job_that_fails_everywhere_is_told_as_failed(play_pools):
     # A task that always fails is answered as failed after its last attempt, and the
     # minions that ran it are not suspected because of one bad job.
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(60), fails=True)
         result = await system.submit(system.other(), usual_batch("c" * 16, 1))
         owner = system.hosts[system.owner()].host.owner
         return result, [m.health.suspected for m in owner.minions]
 
-    (result, suspected), system = play_pools(story)
+    (result, suspected), system = play_pools(scenario)
     assert result.outcome is BatchOutcome.FAILED
     assert result.reason is GiveUpReason.TASK_FAILED
     assert len(system.book.starts) == 3
@@ -272,7 +276,7 @@
 def test_the_caller_hangs_up(play_pools):
     # A caller disconnects, so the result is no longer needed. Its queued tasks are
     # dropped and its running tasks are stopped, which frees capacity for other jobs.
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(2_000))
         async with anyio.create_task_group() as group:
             load = Load(system, group)
@@ -282,8 +286,8 @@
         await system.clock.sleep(ms(100))
         return [m.running for m in system.places.values() if m.running]
 
-    at_work, _ = play_pools(story)
-    assert at_work == []
+    still_running, _ = play_pools(scenario)
+    assert still_running == []
 
 
 def test_room_is_not_used_again_before_a_stopped_run_has_ended(play_pools):
@@ -292,16 +296,16 @@
     # their place before that makes the minion exceed its capacity.
     size = PoolSystemSize(data_centres=1, minions_each=2)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(400))
         async with anyio.create_task_group() as group:
             scope = anyio.CancelScope()
 
-            async def leaving():
+            async def disconnect():
                 with scope:
                     await system.submit(system.other(), usual_batch("d" * 16, 4))
 
-            group.start_soon(leaving)
+            group.start_soon(disconnect)
             await system.clock.sleep(ms(50))
             load = Load(system, group)
             group.start_soon(load.submit, "e" * 16, system.other())
@@ -310,7 +314,7 @@
             await system.clock.sleep(SECOND)
         return load
 
-    load, system = play_pools(story, size)
+    load, system = play_pools(scenario, size)
     assert load.succeeded == 1
     assert system.book.broken == []
 
@@ -321,7 +325,7 @@
     # 50 ms, and new tasks must wait until they have ended.
     size = PoolSystemSize(data_centres=1, minions_each=2)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(2_000))
         name = system.owner()
         async with anyio.create_task_group() as group:
@@ -335,20 +339,20 @@
             await system.clock.sleep(2 * SECOND)
         return load
 
-    load, system = play_pools(story, size)
+    load, system = play_pools(scenario, size)
     assert load.succeeded == 1
     assert system.book.broken == []
 
 
-@pytest.mark.parametrize("newcomer", [False, True])
-def test_minions_missing_from_the_list_may_still_run_tasks(play_pools, newcomer):
+@pytest.mark.parametrize("owner_is_new", [False, True])
+def test_minions_missing_from_the_list_may_still_run_tasks(play_pools, owner_is_new):
     # A data centre was partitioned from the store, and the entries of most of its
     # minions have expired. Its owner is killed before they are back, and the successor
     # reads a list of one minion. If it assumes that there are no others, it starts the
     # tasks of a running job again, beside their runs on the unlisted minions.
     size = PoolSystemSize(data_centres=1, hosts_each=2)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(1_500))
         name, other = system.owner(), system.other()
         async with anyio.create_task_group() as group:
@@ -358,16 +362,16 @@
             idle = next(m for m in system.places.values() if not m.running)
             system.listed[:] = [idle.entry]
             await system.clock.sleep(ms(600))
-            if newcomer:
+            if owner_is_new:
                 system.hosts[other].host.drain()
                 system.start("dc0-h9", "dc0")
             system.kill(name)
             await system.clock.sleep(2 * SECOND)
         return load
 
-    load, system = play_pools(story, size)
+    load, system = play_pools(scenario, size)
     assert system.book.broken == []
-    if not newcomer:
+    if not owner_is_new:
         assert load.succeeded == 1
         assert len(system.book.starts) == 4
 
@@ -379,36 +383,34 @@
     # expired, must not start the task on the other minion while the run goes on.
     size = PoolSystemSize(data_centres=1, minions_each=2)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(4_000))
         name = system.owner()
         async with anyio.create_task_group() as group:
             load = Load(system, group, width=1)
             group.start_soon(load.submit, "a" * 16, name)
             await system.clock.sleep(ms(50))
-            at_work = [m.entry.id for m in system.places.values() if m.running]
+            busy = [m.entry.id for m in system.places.values() if m.running]
             for host, running in system.hosts.items():
-                cut = (
-                    set(at_work) if host == name else set(system.places) - set(at_work)
-                )
+                cut = set(busy) if host == name else set(system.places) - set(busy)
                 running.calls.cut |= cut
             system.network.cut({name: 1})
             system.store.cut.add(name)
             await system.clock.sleep(2 * SECOND)
             group.cancel_scope.cancel()
 
-    _, system = play_pools(story, size)
+    _, system = play_pools(scenario, size)
     assert system.book.broken == []
 
 
 def test_wide_jobs_spill_to_the_other_data_centre(play_pools):
     # A job has more tasks than its data centre has free slots. The rest of its tasks go
     # to another data centre instead of waiting for the first ones to end.
-    async def story(system):
+    async def scenario(system):
         result = await system.submit(system.other(), usual_batch("e" * 16, 14))
         return result, {m.entry.data_centre for m in system.places.values()}
 
-    (result, _), system = play_pools(story)
+    (result, _), system = play_pools(scenario)
     assert result.outcome is BatchOutcome.SUCCEEDED
     assert system.book.broken == []
     assert len(system.book.starts) == 14
@@ -419,7 +421,7 @@
     # It is refused at once as not run, with the time after which to retry.
     size = PoolSystemSize(data_centres=1, minions_each=1)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(2_000))
         async with anyio.create_task_group() as group:
             load = Load(system, group)
@@ -433,7 +435,7 @@
             group.cancel_scope.cancel()
         return result, took
 
-    (result, took), system = play_pools(story, size)
+    (result, took), system = play_pools(scenario, size)
     assert result.outcome is BatchOutcome.NOT_RUN
     assert result.reason is GiveUpReason.OVERLOADED
     assert result.retry_after >= SECOND
@@ -443,10 +445,10 @@
 
 def test_a_draining_minion_gets_nothing_new(play_pools):
     # A minion whose entry is marked as draining must get no more tasks.
-    async def story(system):
+    async def scenario(system):
         from dataclasses import replace
 
-        async def strike():
+        async def drain_minion():
             place = system.places["dc0-m1"]
             index = system.listed.index(place.entry)
             system.listed[index] = replace(place.entry, draining=True)
@@ -461,13 +463,13 @@
 
         seen = []
 
-        async def keep():
-            seen.append(await strike())
+        async def record_drained():
+            seen.append(await drain_minion())
 
-        load = await under_load(system, keep)
+        load = await under_load(system, record_drained)
         return load, seen[0][1]
 
-    (load, drained), _ = play_pools(story)
+    (load, drained), _ = play_pools(scenario)
     assert load.succeeded == 100
     assert not any(drained)
 
@@ -476,7 +478,7 @@
     # A minion crashes permanently and its entry is removed. Its owner probes it for a
     # while, as it may come back, and then must forget it. Otherwise each minion that
     # was ever replaced would be called ten times a second for as long as the host runs.
-    async def story(system):
+    async def scenario(system):
         minion = system.places["dc0-m1"]
         minion.crash()
         system.listed.remove(minion.entry)
@@ -486,14 +488,14 @@
         await system.clock.sleep(2 * SECOND)
         return calls[minion.entry.id] - before
 
-    more, _ = play_pools(story)
+    more, _ = play_pools(scenario)
     assert more == 0
 
 
 def test_a_newer_configuration_reaches_a_host_without_the_store(play_pools):
     # A host cannot reach the store when an operator changes the configuration. It gets
     # the change from the owner of its pool, and no host reverts to an older version.
-    async def story(system):
+    async def scenario(system):
         name = system.other()
         system.store.cut.add(name)
         system.set_config(7)
@@ -503,7 +505,7 @@
         await system.clock.sleep(SECOND)
         return versions, [r.host.config.version for r in system.hosts.values()]
 
-    (first, second), _ = play_pools(story)
+    (first, second), _ = play_pools(scenario)
     assert first == [7] * 6
     assert second == [7] * 6
 
@@ -511,14 +513,14 @@
 def test_every_host_is_killed_and_started_again(play_pools):
     # All hosts are killed at once, and the store still names the old owners. The
     # restarted hosts take the pools over without waiting for a lease to expire.
-    async def story(system):
+    async def scenario(system):
         for name in list(system.hosts):
             system.kill(name)
         system.start_all()
         await system.clock.sleep(ms(700))
         return await system.submit(system.other(), usual_batch("9" * 16))
 
-    result, system = play_pools(story)
+    result, system = play_pools(scenario)
     assert result.outcome is BatchOutcome.SUCCEEDED
     assert system.book.broken == []
 
@@ -527,7 +529,7 @@
     # Hosts are slow, and a connection to a new owner takes 250 ms. Hosts that have not
     # connected yet must not take the pool from it: each takeover adds load to all
     # hosts, so that the next owner is even slower, and in the end no caller is served.
-    async def story(system):
+    async def scenario(system):
         system.network.opening = ms(250)
         before = {}
         async with anyio.create_task_group() as group:
@@ -544,7 +546,7 @@
             for entry in system.store.entries("brasstray/pools/")
         }
 
-    (load, before, after), system = play_pools(story)
+    (load, before, after), system = play_pools(scenario)
     # The store counts its writes once for all keys: one takeover is one more.
     assert max(after.values()) - max(before.values()) == 1
     assert system.book.broken == []
@@ -558,7 +560,7 @@
     # second time while their first runs still go on.
     batch = usual_batch("a" * 16, 2, estimate=ms(1_600))
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(1_600))
         name = system.other()
         owner = system.hosts[system.owner()]
@@ -571,7 +573,7 @@
                     owner.host.owner.lose_requester(link)
             system.hosts[name].host.coordinator.claim(owner.host.owner.pool)
 
-    _, system = play_pools(story)
+    _, system = play_pools(scenario)
     assert system.book.broken == []
     assert len(system.book.starts) == 4
 
@@ -583,7 +585,7 @@
     # any more.
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=40)
 
-    async def story(system):
+    async def scenario(system):
         for running in system.hosts.values():
             running.calls.effort = ms(5)
         system.kill(system.owner())
@@ -591,7 +593,7 @@
         owner = system.hosts[system.owner()].host.owner
         return [minion.reach.value for minion in owner.minions]
 
-    reaches, _ = play_pools(story, size)
+    reaches, _ = play_pools(scenario, size)
     assert reaches == ["leased"] * 40
 
 
@@ -601,7 +603,7 @@
     # minions are trusted again.
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=3)
 
-    async def story(system):
+    async def scenario(system):
         for number in range(4):
             job = f"{number:016x}"
             system.book.works[TaskName(BatchId(job), 0, 0)] = Work(
@@ -612,13 +614,13 @@
         result = await system.submit(system.other(), usual_batch("f" * 16, 6))
         return result, system.clock.monotonic() - began
 
-    (result, took), _ = play_pools(story, size)
+    (result, took), _ = play_pools(scenario, size)
     assert result.outcome is BatchOutcome.SUCCEEDED
     assert took < ms(150)
 
 
-@pytest.mark.parametrize("back_after", [ms(1_100), ms(2_500)])
-def test_a_lease_is_extended_by_an_order_that_comes_late(play_pools, back_after):
+@pytest.mark.parametrize("reachable_after", [ms(1_100), ms(2_500)])
+def test_a_lease_is_extended_by_an_order_that_comes_late(play_pools, reachable_after):
     # A probe that extends the leases of all runs gets no answer. The minion executes it
     # more than a second later and counts the lease from then, and becomes unreachable.
     # Its runs outlive the time at which the owner expects every lease to have expired.
@@ -626,7 +628,7 @@
     # place once the minion is back.
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=2)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(3_000))
         owner, name = system.owner(), system.other()
         calls = system.hosts[owner].calls
@@ -637,7 +639,7 @@
             calls.late_holds, calls.lateness = 2, ms(1_250)
             await system.clock.sleep(ms(600))
             calls.cut.update(m for m, p in system.places.items() if p.running)
-            await system.clock.sleep(back_after)
+            await system.clock.sleep(reachable_after)
             calls.cut.clear()
             system.book.usual = Work(USUAL_NEEDS, ms(60))
             for number in range(10):
@@ -645,21 +647,21 @@
                 group.start_soon(system.submit, name, job)
                 await system.clock.sleep(ms(100))
 
-    _, system = play_pools(story, size)
+    _, system = play_pools(scenario, size)
     assert system.book.broken == []
 
 
-class AskingHost:
+class RequestingHost:
     """Request one task of a job from owners, and record their messages."""
 
     name = "asking"
 
     def __init__(self, job):
         self._job = job
-        self.told = []
+        self.messages = []
 
     def tell(self, message):
-        self.told.append(message)
+        self.messages.append(message)
 
     def request(self, *, claimed):
         return RunTasks(
@@ -688,11 +690,11 @@
     # stops waiting for it. Then the coordinator, whose connection took long, claims the
     # task. As it is unknown whether the task still runs, it must be returned with an
     # unknown outcome and must not start elsewhere beside the first run.
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(3_000))
-        asking = AskingHost("a" * 16)
+        requester = RequestingHost("a" * 16)
         first = system.hosts[system.owner()].host.owner
-        first.run_tasks(asking, asking.request(claimed=False))
+        first.run_tasks(requester, requester.request(claimed=False))
         await system.clock.sleep(ms(200))
         busy = {m for m, place in system.places.items() if place.running}
         for running in system.hosts.values():
@@ -701,13 +703,13 @@
         await system.clock.sleep(ms(550))
         second = system.hosts[system.owner()].host.owner
         assert second.recovered
-        second.run_tasks(asking, asking.request(claimed=True))
+        second.run_tasks(requester, requester.request(claimed=True))
         await system.clock.sleep(ms(100))
-        return asking.told
+        return requester.messages
 
-    told, system = play_pools(story)
+    messages, system = play_pools(scenario)
     assert system.book.broken == []
-    assert [message.outcome_unknown for message in told] == [True]
+    assert [message.outcome_unknown for message in messages] == [True]
 
 
 def test_a_run_that_is_told_as_active_after_its_stop_keeps_its_room(play_pools):
@@ -715,7 +717,7 @@
     # that starts in its place would make the minion exceed its capacity.
     size = PoolSystemSize(data_centres=1, hosts_each=1, minions_each=1)
 
-    async def story(system):
+    async def scenario(system):
         system.book.usual = Work(USUAL_NEEDS, ms(600))
         name = system.owner()
         async with anyio.create_task_group() as group:
@@ -726,7 +728,7 @@
             group.start_soon(load.submit, "b" * 16, name)
         return load
 
-    load, system = play_pools(story, size)
+    load, system = play_pools(scenario, size)
     assert system.book.broken == []
     assert load.succeeded == 1
 
@@ -734,7 +736,7 @@
 def test_an_entry_of_an_unknown_service_names_no_minion(play_pools):
     # Another program lists an entry under a service that the configuration does not
     # name. As it may not be a minion at all, it is not called; the others are used.
-    async def story(system):
+    async def scenario(system):
         stranger = replace(system.listed[0], id="stranger", service="printing")
         system.listed.append(stranger)
         await system.clock.sleep(2 * SECOND)
@@ -742,6 +744,6 @@
         result = await system.submit(system.other(), usual_batch("7" * 16))
         return {minion.entry.id for minion in owner.minions}, result.outcome
 
-    (known, outcome), _ = play_pools(story)
+    (known, outcome), _ = play_pools(scenario)
     assert known == {f"dc0-m{number}" for number in range(4)}
     assert outcome is BatchOutcome.SUCCEEDED
--- a/tests/host/test_random_streams.py
+++ b/tests/host/test_random_streams.py
@@ -46,7 +46,7 @@
 
 
 @dataclass(frozen=True)
-class Strike:
+class Fault:
     """Inject a fault into a host, a minion or the store for a limited time."""
 
     what: str
@@ -59,12 +59,12 @@
     ms: int
 
 
-DURATIONS = st.sampled_from([20, 60, 60, 200, 900])
+TASK_DURATIONS_MS = st.sampled_from([20, 60, 60, 200, 900])
 SUBMIT = st.builds(
     Submit,
     st.integers(0, HOSTS - 1),
     st.integers(1, 6),
-    DURATIONS,
+    TASK_DURATIONS_MS,
     st.sampled_from([False] * 7 + [True]),
     st.sampled_from([False] * 7 + [True]),
 )
@@ -76,15 +76,15 @@
     st.booleans(),
     st.just(False),
 )
-STRIKE = st.builds(
-    Strike,
+FAULT = st.builds(
+    Fault,
     st.sampled_from(HOST_FAULTS + MINION_FAULTS + STORE_FAULTS),
     st.integers(0, 5),
     st.sampled_from([100, 500, 1_500, 3_000]),
 )
 PAUSE = st.builds(Pause, st.integers(0, 400))
 CALM_STREAMS = st.lists(st.one_of(CALM_SUBMIT, PAUSE), min_size=1, max_size=12)
-STREAMS = st.lists(st.one_of(SUBMIT, SUBMIT, STRIKE, PAUSE), min_size=4, max_size=30)
+STREAMS = st.lists(st.one_of(SUBMIT, SUBMIT, FAULT, PAUSE), min_size=4, max_size=30)
 
 
 class Client:
@@ -135,15 +135,15 @@
     return f"dc{number % SIZE.data_centres}-m{number // SIZE.data_centres}"
 
 
-class Striker:
+class FaultInjector:
     """Inject faults, and end each of them after its duration."""
 
     def __init__(self, system):
         self._system = system
         self._version = 1
 
-    async def strike(self, fault):
-        system, lasting = self._system, timedelta(milliseconds=fault.for_ms)
+    async def inject(self, fault):
+        system, duration = self._system, timedelta(milliseconds=fault.for_ms)
         name, minion = host_name(fault.target), minion_name(fault.target)
         running, place = system.hosts.get(name), system.places[minion]
         match fault.what:
@@ -151,18 +151,18 @@
                 if running is not None and len(system.hosts) > 1:
                     system.kill(name)
                     if fault.what == "restart":
-                        await system.clock.sleep(lasting)
+                        await system.clock.sleep(duration)
                         system.start(name, name.partition("-")[0])
             case "freeze" if running is not None:
                 running.gate.close()
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 running.gate.open()
             case "cut host":
-                await self._cut({name}, lasting)
+                await self._cut({name}, duration)
             case "cut centre":
                 centre = f"dc{fault.target % SIZE.data_centres}"
                 inside = {n for n in system.hosts if n.startswith(centre)}
-                await self._cut(inside, lasting)
+                await self._cut(inside, duration)
             case "drain" if running is not None:
                 running.host.drain()
             case "lose" if running is not None:
@@ -174,28 +174,28 @@
                 system.listed = [e for e in system.listed if e.id != minion]
             case "stuck":
                 place.stuck = True
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 place.stuck = False
             case "slow":
                 place.slowness = 6.0
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 place.slowness = 1.0
             case "failing":
                 place.failing = True
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 place.failing = False
             case "cut minion":
                 cut = [running.calls.cut for running in system.hosts.values()]
                 for one in cut:
                     one.add(minion)
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 for one in cut:
                     one.discard(minion)
             case "draining":
                 system.set_draining(minion)
             case "store down":
                 system.store.down = True
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 system.store.down = False
             case "revoke":
                 system.store.remove(f"brasstray/pools/dc{fault.target % 2}")
@@ -205,17 +205,17 @@
                 self._version += 1
                 system.set_config(self._version)
 
-    async def _cut(self, names, lasting):
+    async def _cut(self, names, duration):
         system = self._system
         system.network.cut(dict.fromkeys(names, 1))
         system.store.cut.update(names)
-        await system.clock.sleep(lasting)
+        await system.clock.sleep(duration)
         system.network.cut({})
         system.store.cut.clear()
 
 
 async def play_stream(system, stream):
-    clients, striker = [], Striker(system)
+    clients, injector = [], FaultInjector(system)
     async with anyio.create_task_group() as group:
         for event in stream:
             match event:
@@ -223,8 +223,8 @@
                     client = Client(system, f"{len(clients):016x}", event)
                     clients.append(client)
                     group.start_soon(client.run)
-                case Strike():
-                    group.start_soon(striker.strike, event)
+                case Fault():
+                    group.start_soon(injector.inject, event)
                 case Pause(ms):
                     await system.clock.sleep(timedelta(milliseconds=ms))
     # Delayed orders to minions arrive up to 3 s later.
