--- a/tests/host/test_config_fetch.py
+++ b/tests/host/test_config_fetch.py
@@ -116,7 +116,7 @@
     return run_virtual(run_scenario)
 
 
-def test_a_text_is_asked_for_once_however_often_its_version_is_told():
+def test_a_text_is_requested_once_however_often_its_version_is_offered():
     # Heartbeats keep naming the newer version while its text is in transit over a slow
     # link. Each of them used to cause another transfer of the whole text.
     async def scenario(fetch, config, events, group):
@@ -131,7 +131,7 @@
     assert asked == [0, PART_BYTES, 2 * PART_BYTES, 3 * PART_BYTES]
 
 
-def test_the_store_is_given_time_to_bring_the_change():
+def test_the_store_is_given_time_to_deliver_the_change():
     # A heartbeat names a version that the store is about to deliver to every host.
     async def scenario(fetch, config, events, group):
         peer = Peer(fetch, "a", 2)
@@ -144,7 +144,7 @@
     assert run_with_fetch(scenario) == []
 
 
-def test_another_host_goes_on_where_the_first_one_fell_silent():
+def test_another_host_continues_a_fetch_that_timed_out():
     # The first host fails after two parts. Received parts are not fetched again.
     async def scenario(fetch, config, events, group):
         first, second = Peer(fetch, "a", 2, answers=2), Peer(fetch, "b", 2)
@@ -164,7 +164,7 @@
     assert (version, silent) == (2, 1)
 
 
-def test_a_host_that_was_silent_is_asked_again_once_it_is_heard_of():
+def test_a_host_that_timed_out_is_retried_after_its_next_offer():
     async def scenario(fetch, config, events, group):
         peer = Peer(fetch, "a", 2, answers=1)
         peer.offer(group)
@@ -181,7 +181,7 @@
     assert version == 2
 
 
-def test_a_version_that_follows_while_the_text_is_fetched_is_fetched_instead():
+def test_a_newer_version_replaces_the_one_being_fetched():
     async def scenario(fetch, config, events, group):
         peer = Peer(fetch, "a", 2)
         peer.offer(group)
@@ -207,7 +207,7 @@
     assert run_with_fetch(scenario) == (4, None)
 
 
-def test_an_old_answer_takes_no_change_back():
+def test_a_delayed_part_does_not_revert_a_change():
     # A delayed part arrives after a newer configuration is in force.
     async def scenario(fetch, config, events, group):
         config.adopt(configuration(3), "store")
--- a/tests/host/test_evacuation.py
+++ b/tests/host/test_evacuation.py
@@ -143,7 +143,7 @@
     assert max(took for _, _, took in load.results.values()) < ms(200)
 
 
-def test_what_waits_goes_to_another_data_centre_at_once(play_pools):
+def test_queued_tasks_move_to_another_data_centre_at_once(play_pools):
     # All slots of a data centre are taken by long tasks, and a job is queued there, as
     # the other one is full too. The data centre is evacuated, and later the other one
     # has free slots: the job must not stay queued for slots that it will never get.
@@ -241,7 +241,7 @@
     ("centre", "value"),
     [("nowhere", b"{}"), ("", b"{}"), ("dc0/dc1", b"{}"), ("dc0", b"["), ("dc0", b"3")],
 )
-def test_an_entry_of_another_writer_evacuates_nothing(play_pools, centre, value):
+def test_an_invalid_entry_evacuates_nothing(play_pools, centre, value):
     # Another program has written an entry under the operators' prefix: its data centre
     # does not exist, or its value cannot be parsed. It must not cause an evacuation.
     async def scenario(system):
--- a/tests/host/test_evacuations.py
+++ b/tests/host/test_evacuations.py
@@ -62,7 +62,7 @@
         ([full(5, "x", "a"), changes(6, "y")], 6, "a"),
     ],
 )
-def test_the_set_that_was_read_last_counts(updates, as_of, centres):
+def test_the_set_read_at_the_latest_version_is_adopted(updates, as_of, centres):
     known = Evacuations(frozenset("ab"), Clock(), EventRecorder())
     for update in updates:
         update(known)
@@ -71,7 +71,7 @@
     assert {pool for pool in "abxy" if known.covers(pool)} == set(centres)
 
 
-def test_a_change_is_told_once_and_a_later_version_of_the_same_set_is_not():
+def test_an_event_is_recorded_only_if_the_set_changes():
     events = EventRecorder()
     known = Evacuations(frozenset("ab"), Clock(), events)
     for update in (
--- a/tests/host/test_host_status.py
+++ b/tests/host/test_host_status.py
@@ -41,7 +41,7 @@
     assert [name.startswith("dc1") for name in asking] == [False, False, True]
 
 
-def test_a_host_shows_what_is_evacuated_and_who_told(play_pools):
+def test_a_host_shows_what_is_evacuated_and_its_source(play_pools):
     async def scenario(system):
         before = host_status(system.hosts["dc0-h0"].host).evacuations
         system.store.cut.add("dc0-h0")
@@ -60,7 +60,7 @@
         assert (status.source == "store") == (name != "dc0-h0")
 
 
-def test_a_host_that_leaves_says_so(play_pools):
+def test_a_draining_host_reports_it(play_pools):
     async def scenario(system):
         host = system.hosts[system.other()].host
         host.drain()
@@ -75,7 +75,7 @@
 # from the last record that it had read, however old: seconds old where the answer to
 # its watch of the store was lost. The status must confirm the ownership first.
 @pytest.mark.parametrize("watch", ["just told", "silent"])
-def test_a_host_whose_pool_was_taken_does_not_say_that_it_owns_it(play_pools, watch):
+def test_a_host_whose_pool_was_taken_does_not_report_it_as_owned(play_pools, watch):
     async def scenario(system):
         owner = system.owner()
         if watch == "silent":
@@ -92,7 +92,7 @@
 
 
 @pytest.mark.parametrize(("away", "least", "most"), [(0, 0, 0), (3_000, 2_900, 5_000)])
-def test_an_owner_says_how_old_the_confirmation_is(play_pools, away, least, most):
+def test_an_owner_reports_the_age_of_its_confirmation(play_pools, away, least, most):
     # While the store is unavailable, the owner cannot know whether another host has
     # taken the pool. It goes on, and its status reports the age of the confirmation.
     async def scenario(system):
--- a/tests/host/test_large_configuration.py
+++ b/tests/host/test_large_configuration.py
@@ -56,7 +56,7 @@
     ("refused_hosts", "strong_hosts_each"), [(nobody, 2), (a_third, 0), (owners, 0)]
 )
 @pytest.mark.parametrize("size", [LARGE, LARGER, LARGEST])
-def test_a_large_configuration_does_not_part_owners_from_hosts(
+def test_a_large_configuration_does_not_disconnect_owners_from_hosts(
     play_pools, refused_hosts, strong_hosts_each, size
 ):
     # After the configuration had grown by 888 routes, hosts considered owners lost,
--- a/tests/host/test_lost_history.py
+++ b/tests/host/test_lost_history.py
@@ -19,9 +19,7 @@
 # so each watch fails at once. If each host then read everything again without a pause,
 # a fleet would overload the store, and no host would receive any change.
 @pytest.mark.parametrize("error", [HistoryLostError, StoreUnavailableError])
-def test_a_store_whose_watches_all_fail_is_asked_with_pauses(
-    play_pools, monkeypatch, error
-):
+def test_failing_watches_are_retried_with_a_delay(play_pools, monkeypatch, error):
     calls = Counter()
     snapshot = StoreView.snapshot
 
--- a/tests/host/test_pool_failures.py
+++ b/tests/host/test_pool_failures.py
@@ -49,7 +49,7 @@
 @pytest.mark.parametrize(
     "failure", ["killed", "frozen", "cut off", "drained", "revoked"]
 )
-def test_the_owner_of_a_pool_goes_away(play_pools, failure):
+def test_jobs_survive_the_failure_of_an_owner(play_pools, failure):
     # The owner of a pool crashes, freezes, is partitioned, drains or loses its entry in
     # the store while jobs run. Another host must take the pool over and extend the
     # leases of the runs, so that jobs of callers at other hosts still succeed.
@@ -144,7 +144,7 @@
 
 
 @pytest.mark.parametrize("seconds", [1, 4])
-def test_the_store_is_away(play_pools, seconds):
+def test_jobs_survive_an_outage_of_the_store(play_pools, seconds):
     # The store is unavailable for seconds. Owners go on with their fencing tokens, as
     # no minion has seen a higher one, and no caller is affected.
     async def scenario(system):
@@ -160,7 +160,7 @@
     assert system.book.broken == []
 
 
-def test_the_host_that_a_job_came_to_dies_and_the_job_is_sent_again(play_pools):
+def test_runs_of_a_killed_host_end_before_its_jobs_are_sent_again(play_pools):
     # A host is killed with a job running, and clients resubmit such a job to another
     # host 1.3 s later. By then no task of the first try may still run, or the same task
     # would run twice at the same time.
@@ -180,7 +180,7 @@
     assert len(system.book.starts) == 3
 
 
-def test_a_frozen_host_wakes_and_its_callers_are_told_the_truth(play_pools):
+def test_a_frozen_host_resumes_without_running_tasks_twice(play_pools):
     # A host freezes for three seconds with a job running, and the pool stops the tasks
     # of that job. When it resumes, it must neither start them again beside the job that
     # the client has resubmitted elsewhere, nor answer that they did not run.
@@ -226,7 +226,7 @@
 
 
 @pytest.mark.parametrize("failure", ["crashed", "cut off", "stuck", "slow", "failing"])
-def test_a_minion_goes_wrong(play_pools, failure):
+def test_jobs_survive_the_failure_of_a_minion(play_pools, failure):
     # One of four minions crashes, is partitioned, hangs, becomes slow or fails every
     # task. Its tasks must run elsewhere, once it is certain that their runs have ended,
     # and it must get no more tasks until it has proved to work.
@@ -257,7 +257,7 @@
     assert late <= 8
 
 
-def test_a_job_that_fails_everywhere_is_told_as_failed(play_pools):
+def test_a_job_that_fails_everywhere_is_answered_as_failed(play_pools):
     # A task that always fails is answered as failed after its last attempt, and the
     # minions that ran it are not suspected because of one bad job.
     async def scenario(system):
@@ -273,7 +273,7 @@
     assert not any(suspected)
 
 
-def test_the_caller_hangs_up(play_pools):
+def test_tasks_of_a_disconnected_caller_are_stopped(play_pools):
     # A caller disconnects, so the result is no longer needed. Its queued tasks are
     # dropped and its running tasks are stopped, which frees capacity for other jobs.
     async def scenario(system):
@@ -290,7 +290,7 @@
     assert still_running == []
 
 
-def test_room_is_not_used_again_before_a_stopped_run_has_ended(play_pools):
+def test_capacity_is_not_reused_before_a_stopped_run_has_ended(play_pools):
     # Minions are full when a caller disconnects. Its runs that are being stopped are no
     # longer reported as active, but take up to 50 ms to end. A task that starts in
     # their place before that makes the minion exceed its capacity.
@@ -319,7 +319,7 @@
     assert system.book.broken == []
 
 
-def test_runs_that_nobody_claims_use_room_until_they_have_ended(play_pools):
+def test_unclaimed_runs_use_capacity_until_they_have_ended(play_pools):
     # The owner crashes with a job of its own caller running. Its successor finds runs
     # that no host claims, and whose size is unknown. It stops them, which takes up to
     # 50 ms, and new tasks must wait until they have ended.
@@ -443,7 +443,7 @@
     assert not any(name.batch == "0" * 16 for name in system.book.starts)
 
 
-def test_a_draining_minion_gets_nothing_new(play_pools):
+def test_a_draining_minion_gets_no_new_tasks(play_pools):
     # A minion whose entry is marked as draining must get no more tasks.
     async def scenario(system):
         from dataclasses import replace
@@ -597,7 +597,7 @@
     assert reaches == ["leased"] * 40
 
 
-def test_jobs_that_can_never_be_done_do_not_stop_the_others(play_pools):
+def test_failing_jobs_do_not_delay_other_jobs(play_pools):
     # A caller submits tasks that fail wherever they run, one after the other, so that
     # each minion fails two in a row. A correct job must not wait until these healthy
     # minions are trusted again.
@@ -620,7 +620,7 @@
 
 
 @pytest.mark.parametrize("reachable_after", [ms(1_100), ms(2_500)])
-def test_a_lease_is_extended_by_an_order_that_comes_late(play_pools, reachable_after):
+def test_a_lease_is_extended_by_a_delayed_probe(play_pools, reachable_after):
     # A probe that extends the leases of all runs gets no answer. The minion executes it
     # more than a second later and counts the lease from then, and becomes unreachable.
     # Its runs outlive the time at which the owner expects every lease to have expired.
@@ -712,7 +712,7 @@
     assert [message.outcome_unknown for message in messages] == [True]
 
 
-def test_a_run_that_is_told_as_active_after_its_stop_keeps_its_room(play_pools):
+def test_a_run_that_is_active_after_its_stop_keeps_its_capacity(play_pools):
     # A minion acknowledges a stop but does not execute it. The run goes on, and a task
     # that starts in its place would make the minion exceed its capacity.
     size = PoolSystemSize(data_centres=1, hosts_each=1, minions_each=1)
