--- a/src/brasstray/host/event_log.py
+++ b/src/brasstray/host/event_log.py
@@ -223,7 +223,7 @@
         )
 
     def config_told(self, host: str, version: ConfigVersion, size: int) -> None:
-        """Record that all `size` bytes of a configuration were sent to a host."""
+        """Record that the last part of a text of `size` bytes was sent to a host."""
         self._metrics.count_reason("config_told")
         self._metrics.count_config_bytes("told", size)
         log_message("brasstray:config_told", host=host, version=version, bytes=size)
--- a/src/brasstray/host/host_events.py
+++ b/src/brasstray/host/host_events.py
@@ -27,7 +27,7 @@
         """Record that the host sent no further part before the timeout."""
 
     def config_told(self, host: str, version: ConfigVersion, size: int) -> None:
-        """Record that all `size` bytes of a configuration were sent to a host."""
+        """Record that the last part of a text of `size` bytes was sent to a host."""
 
     def config_unneeded(self, source: str, size: int) -> None:
         """Record that `size` bytes of text were received and discarded."""
