--- a/src/brasstray/host/config_exchange.py
+++ b/src/brasstray/host/config_exchange.py
@@ -1,4 +1,4 @@
-"""Bring the configurations of two hosts to the newer one of both."""
+"""Exchange configurations with other hosts, so that the newest reaches every host."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
     from brasstray.host.timing import HostTiming
     from brasstray.peer.pool_messages import PoolMessage
 
-# A heartbeat waits behind one part at most, so a part must be short on narrow links.
+# A heartbeat queues behind one part at most, so parts must be short on slow links.
 PART_BYTES = 16_384
 
 
 class ConfigExchange:
-    """Answer hosts that are behind, and fetch from hosts that are ahead.
+    """Send the configuration to hosts with an older one, and fetch newer ones.
 
-    Versions travel on every heartbeat; a text goes only to a host that asks for it.
+    Every heartbeat carries the version; the text is sent only to hosts that request it.
     """
 
     def __init__(
@@ -44,32 +44,35 @@
         """Fetch newer configurations, until cancelled."""
         await self._fetch.run()
 
-    def hear(
-        self, host: str, version: ConfigVersion, tell: Callable[[PoolMessage], None]
+    def record_version(
+        self, host: str, version: ConfigVersion, send: Callable[[PoolMessage], None]
     ) -> None:
-        """Record that `host`, reached by `tell`, has `version` in force."""
-        self._fetch.offer(host, version, tell)
+        """Record that `host` has `version` in force; `send` sends a message to it."""
+        self._fetch.offer(host, version, send)
 
-    def take(
+    def handle_message(
         self,
         host: str,
         message: ConfigWanted | ConfigPart,
-        tell: Callable[[PoolMessage], None],
+        send: Callable[[PoolMessage], None],
     ) -> None:
-        """Take a question or a part from `host`, which is reached by `tell`."""
+        """Handle a request or a part from `host`; `send` sends a message to it."""
         match message:
             case ConfigPart():
-                self._fetch.take(host, message)
+                self._fetch.receive_part(host, message)
             case ConfigWanted() if self._config.current is not None:
-                part = part_for(message, self._config.current)
-                tell(part)
+                part = requested_part(message, self._config.current)
+                send(part)
                 if part.offset + len(part.text) >= part.size:
                     self._events.config_told(host, part.version, part.size)
 
 
-def part_for(wanted: ConfigWanted, current: Configuration) -> ConfigPart:
-    """Return the part of `current` that a host asks for."""
-    offset = wanted.offset if wanted.version == current.version else 0
+def requested_part(request: ConfigWanted, current: Configuration) -> ConfigPart:
+    """Return the part of `current` that a host has requested.
+
+    It is the first part if the requested version is no longer in force.
+    """
+    offset = request.offset if request.version == current.version else 0
     return ConfigPart(
         version=current.version,
         size=len(current.text),
@@ -78,4 +81,4 @@
     )
 
 
-__all__ = ["PART_BYTES", "ConfigExchange", "part_for"]
+__all__ = ["PART_BYTES", "ConfigExchange", "requested_part"]
--- a/src/brasstray/host/evacuations.py
+++ b/src/brasstray/host/evacuations.py
@@ -1,4 +1,4 @@
-"""Know which data centres operators have evacuated."""
+"""Track which data centres operators have evacuated."""
 
 from __future__ import annotations
 
@@ -22,14 +22,14 @@
 
 
 class Evacuations:
-    """Adopt the newest set, from the store or from another host.
+    """Adopt the newest set of evacuated data centres, from the store or a host.
 
     Guards against starts in a data centre that operators believe to be empty: an owner
-    that the store turns away, or whose watch has gone silent, does not learn of it from
-    there. Each heartbeat between hosts carries the set and the store's version that it
-    was read at, so that one host that reads it tells all.
+    that the store refuses, or whose watch is silent, does not learn of the evacuation
+    from the store. Each heartbeat between hosts carries the set and the store version
+    at which it was read, so that one host that reads it informs all others.
 
-    Only `data_centres` can be evacuated; without any, every name counts.
+    Only `data_centres` can be evacuated; if it is empty, every name is accepted.
     """
 
     def __init__(
@@ -40,7 +40,7 @@
         self._events = events
         self._current = NEVER_READ
         self._source = "nobody"
-        self._heard_at = timedelta(0)
+        self._received_at = timedelta(0)
         self._changed = anyio.Event()
 
     @property
@@ -50,49 +50,51 @@
 
     @property
     def source(self) -> str:
-        """Return who told the newest set: the store, or a host."""
+        """Return the source of the newest set: the store, or the name of a host."""
         return self._source
 
     @property
-    def heard_ago(self) -> timedelta:
-        """Return how old the newest word on the set is."""
-        return self._clock.monotonic() - self._heard_at
+    def age(self) -> timedelta:
+        """Return the time since the newest set was received."""
+        return self._clock.monotonic() - self._received_at
 
     def covers(self, pool: PoolId) -> bool:
-        """Return whether the minions of `pool` get nothing new."""
+        """Return whether the data centre of `pool` is evacuated."""
         return DataCentreName(pool) in self._current.data_centres
 
-    def learn(self, entries: OperatorEntries, *, whole: bool) -> None:
-        """Take what the store tells: the `whole` set, or changes of it.
+    def apply_entries(self, entries: OperatorEntries, *, full: bool) -> None:
+        """Apply entries from the store: the `full` set, or changes to it.
 
-        Changes go on top of whatever is newest here. What another host told meanwhile
-        has some of them already, and having them twice changes nothing.
+        Changes are applied to the newest set known here. A set received from another
+        host may include some of them already; applying them twice changes nothing.
         """
-        before = frozenset() if whole else self._current.data_centres
-        named = frozenset(self._named(entries.evacuated))
-        centres = (before | named) - entries.resumed
+        before = frozenset() if full else self._current.data_centres
+        evacuated = frozenset(self._without_unknown(entries.evacuated))
+        centres = (before | evacuated) - entries.resumed
         self.adopt(EvacuationSet(entries.as_of, centres), STORE)
 
-    def _named(self, centres: Iterable[DataCentreName]) -> Iterable[DataCentreName]:
+    def _without_unknown(
+        self, centres: Iterable[DataCentreName]
+    ) -> Iterable[DataCentreName]:
         for centre in centres:
             if not self._data_centres or centre in self._data_centres:
                 yield centre
             else:
                 self._events.entry_ignored(f"evacuation of {centre!r}", "unknown")
 
-    def adopt(self, found: EvacuationSet, source: str) -> None:
-        """Take `found` for the truth if it was read later than what is known."""
-        if found.as_of <= self._current.as_of:
+    def adopt(self, received: EvacuationSet, source: str) -> None:
+        """Adopt `received` if it was read at a later version than the current set."""
+        if received.as_of <= self._current.as_of:
             return
-        before, self._current = self._current, found
+        before, self._current = self._current, received
         self._source = source
-        self._heard_at = self._clock.monotonic()
-        if found.data_centres != before.data_centres or not before.known:
-            self._events.evacuations_changed(found, source)
+        self._received_at = self._clock.monotonic()
+        if received.data_centres != before.data_centres or not before.known:
+            self._events.evacuations_changed(received, source)
             self._changed.set()
 
     async def wait_for_change(self) -> None:
-        """Wait until a data centre was evacuated or resumed since the last wait."""
+        """Wait until the set has changed since the last wait."""
         await self._changed.wait()
         self._changed = anyio.Event()
 
--- a/src/brasstray/host/gauges.py
+++ b/src/brasstray/host/gauges.py
@@ -1,4 +1,4 @@
-"""Show at each scrape what a host has at that moment."""
+"""Register gauges that read the state of a host at each scrape."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def observe_host(metrics: PoolMetrics, host: PoolHost) -> None:
-    """Add the gauges of `host` to `metrics`."""
+    """Register the gauges of `host` in `metrics`."""
 
     def jobs() -> Mapping[str, float]:
         return {"active": host.coordinator.active}
@@ -38,10 +38,10 @@
     def config() -> Mapping[str, float]:
         return {"version": host.config.version}
 
-    metrics.observe("brasstray_jobs", "jobs that callers wait for", jobs)
-    metrics.observe("brasstray_pool", "the pool, if this host owns it", pool)
-    metrics.observe("brasstray_minions", "minions of the pool, by reach", minions)
-    metrics.observe("brasstray_config", "the configuration in force", config)
+    metrics.add_gauge("brasstray_jobs", "jobs that callers wait for", jobs)
+    metrics.add_gauge("brasstray_pool", "the pool, if this host owns it", pool)
+    metrics.add_gauge("brasstray_minions", "minions of the pool, by reach", minions)
+    metrics.add_gauge("brasstray_config", "the configuration in force", config)
 
 
 __all__ = ["observe_host"]
--- a/src/brasstray/host/minion_feed.py
+++ b/src/brasstray/host/minion_feed.py
@@ -1,4 +1,4 @@
-"""Keep the owner of a pool, and its possible successors, informed of its minions."""
+"""Keep the owner of a pool and its possible successors informed of its minions."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 class MinionFeed:
-    """Read the list of minions for an owner, and remember whom the last owner held."""
+    """Poll the list of minions for an owner, and keep the last owner's minions."""
 
     def __init__(
         self,
@@ -44,31 +44,31 @@
 
     @property
     def held(self) -> tuple[MinionEntry, ...] | None:
-        """Return the minions that the pool's owner held last; None if nobody told."""
+        """Return the minions that the pool's last owner held; None if unknown."""
         return self._held
 
     def hear(self, minions: tuple[MinionEntry, ...]) -> None:
-        """Record the minions that another owner of the pool holds."""
+        """Record the minions that another host holds as the owner of the pool."""
         self._held = minions
 
     def tell(self, link: RequesterLink) -> None:
-        """Tell a host that may take the pool over which minions it has."""
+        """Send the minions of the pool to a host that may take the pool over."""
         if link.data_centre == self._data_centre and self._held is not None:
             link.tell(PoolMinions(minions=self._held))
 
     async def follow(self, owner: PoolOwner) -> None:
-        """Read the list for `owner` again and again, until cancelled."""
+        """Poll the list for `owner` until cancelled."""
         while True:
             try:
                 listed = await self._list.minions(self._data_centre)
-                owner.list_minions(self._of_known_services(listed))
-                self._tell_changes(owner)
+                owner.list_minions(self._filter_known_services(listed))
+                self._publish_changes(owner)
                 self._events.store_back("minions")
             except StoreUnavailableError as error:
                 self._events.store_lost("minions", str(error))
             await self._clock.sleep(self._timing.pool.list_interval)
 
-    def _of_known_services(self, listed: list[MinionEntry]) -> list[MinionEntry]:
+    def _filter_known_services(self, listed: list[MinionEntry]) -> list[MinionEntry]:
         """Leave out minions of services that the configuration does not name."""
         config = self._config.current
         if config is None:
@@ -81,7 +81,7 @@
                 self._events.entry_ignored(entry.id, f"service {entry.service!r}")
         return known
 
-    def _tell_changes(self, owner: PoolOwner) -> None:
+    def _publish_changes(self, owner: PoolOwner) -> None:
         held = tuple(minion.entry for minion in owner.minions)
         if held != self._held:
             self._held = held
--- a/src/brasstray/host/operator_feed.py
+++ b/src/brasstray/host/operator_feed.py
@@ -1,4 +1,4 @@
-"""Follow what operators write into the store."""
+"""Watch the entries that operators write to the store."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
 
 
 class OperatorFeed:
-    """Tell the configuration and the evacuations of what the store has."""
+    """Update the configuration and the evacuations from the store."""
 
     def __init__(
         self,
@@ -36,30 +36,30 @@
         self._events = events
 
     async def follow(self) -> None:
-        """Follow the store until cancelled."""
+        """Watch the store until cancelled."""
         await follow_store(
             "configuration",
-            self._learn_after,
+            self._apply_changes_after,
             self._clock,
             self._timing.store_retry,
             self._events,
         )
 
-    async def _learn_after(self, as_of: int | None) -> int:
+    async def _apply_changes_after(self, as_of: int | None) -> int:
         try:
-            found = await self._after(as_of)
+            entries = await self._read_after(as_of)
         except StoreUnavailableError:
-            self._config.note_store(answers=False)
+            self._config.record_store_response(answered=False)
             raise
-        self._config.note_store(answers=True)
-        # Evacuations first: a configuration that cannot be read must not hide them.
-        self._evacuations.learn(found, whole=as_of is None)
-        if found.unreadable is not None:
-            self._events.config_unreadable("store", found.unreadable)
-        self._config.adopt(found.configuration, "store")
-        return found.as_of
+        self._config.record_store_response(answered=True)
+        # Evacuations first: they must apply even if the configuration cannot be read.
+        self._evacuations.apply_entries(entries, full=as_of is None)
+        if entries.unreadable is not None:
+            self._events.config_unreadable("store", entries.unreadable)
+        self._config.adopt(entries.configuration, "store")
+        return entries.as_of
 
-    async def _after(self, as_of: int | None) -> OperatorEntries:
+    async def _read_after(self, as_of: int | None) -> OperatorEntries:
         if as_of is None:
             return await self._source.read()
         return await self._source.wait(as_of, self._timing.config_watch)
--- a/src/brasstray/trace/log_reader.py
+++ b/src/brasstray/trace/log_reader.py
@@ -1,4 +1,4 @@
-"""Read the log lines of hosts from files."""
+"""Read log lines of hosts from files."""
 
 from __future__ import annotations
 
@@ -14,22 +14,22 @@
 
 
 def read_logs(paths: Iterable[Path]) -> list[LogLine]:
-    """Return the lines of all files by time; raise UnreadableLogError.
+    """Return the lines of all files, sorted by time; raise UnreadableLogError.
 
-    Lines that no host wrote, such as those of a collector or a runtime, are left out.
+    Lines that no host wrote, such as those of a collector or a runtime, are skipped.
     """
     lines: list[LogLine] = []
     for path in paths:
         try:
             with path.open(encoding="utf-8", errors="replace") as file:
-                lines.extend(_lines(file, path.stem))
+                lines.extend(_parse_lines(file, path.stem))
         except OSError as error:
             raise UnreadableLogError(f"{path}: {error.strerror}") from error
     lines.sort(key=lambda line: line.at)
     return lines
 
 
-def _lines(texts: Iterable[str], file_name: str) -> Iterable[LogLine]:
+def _parse_lines(texts: Iterable[str], file_name: str) -> Iterable[LogLine]:
     for text in texts:
         line = parse_line(text, file_name)
         if line is not None:
@@ -37,12 +37,12 @@
 
 
 def parse_line(text: str, file_name: str) -> LogLine | None:
-    """Return the host's line in `text`, or None if no host wrote it.
+    """Parse the log line in `text`; return None if no host wrote it.
 
-    A collector may put the time in seconds and the host's name in front; else the host
-    is called as its file is.
+    A collector may put the time in seconds and the host's name in front. Without them,
+    `file_name` is used as the host's name.
     """
-    front, brace, rest = text.partition("{")
+    prefix, brace, rest = text.partition("{")
     try:
         fields = json.loads(brace + rest)
     except ValueError:
@@ -50,14 +50,14 @@
     kind = str(fields.get("message_type", ""))
     if not kind.startswith(MESSAGE_PREFIX):
         return None
-    at, host = _collected(front.split())
+    at, host = _parse_collector_prefix(prefix.split())
     if at is None:
         stamp = fields.get("timestamp")
         at = float(stamp) if isinstance(stamp, (int, float)) else 0.0
     return LogLine(at, host or file_name, kind.removeprefix(MESSAGE_PREFIX), fields)
 
 
-def _collected(words: list[str]) -> tuple[float | None, str | None]:
+def _parse_collector_prefix(words: list[str]) -> tuple[float | None, str | None]:
     if len(words) < 2:
         return None, None
     try:
--- a/tests/host/test_host_status.py
+++ b/tests/host/test_host_status.py
@@ -1,4 +1,4 @@
-"""Check what operators are shown of a host."""
+"""Check the status of a host that operators see."""
 
 from __future__ import annotations
 
@@ -12,19 +12,19 @@
 
 
 def test_an_owner_shows_its_pool_and_others_where_it_is(play_pools):
-    async def story(system):
+    async def scenario(system):
         owner, other = system.owner(), system.other()
         return {
             name: host_status(system.hosts[name].host) for name in (owner, other)
         }, owner
 
-    (found, owner), _ = play_pools(story)
+    (found, owner), _ = play_pools(scenario)
     for name, status in found.items():
         assert status.host == name
         assert status.state == "ready"
         assert status.config_version == 1
-        # Owners tell one another of their room; other hosts have no link to a pool
-        # that has no task of theirs.
+        # Owners exchange their load over links; other hosts have no link to a pool
+        # that has none of their tasks.
         assert {one.pool: one.in_reach for one in status.owners} == {
             "dc0": True,
             "dc1": True if name == owner else None,
@@ -41,8 +41,8 @@
     assert [name.startswith("dc1") for name in asking] == [False, False, True]
 
 
-def test_a_host_shows_what_is_evacuated_and_who_told(play_pools):
-    async def story(system):
+def test_a_host_shows_what_is_evacuated_and_its_source(play_pools):
+    async def scenario(system):
         before = host_status(system.hosts["dc0-h0"].host).evacuations
         system.store.cut.add("dc0-h0")
         system.evacuate("dc1")
@@ -52,7 +52,7 @@
             for name, running in system.hosts.items()
         }
 
-    (before, found), _ = play_pools(story)
+    (before, found), _ = play_pools(scenario)
     assert (before.data_centres, before.source) == ((), "store")
     for name, status in found.items():
         assert status.data_centres == ("dc1",)
@@ -60,23 +60,23 @@
         assert (status.source == "store") == (name != "dc0-h0")
 
 
-def test_a_host_that_leaves_says_so(play_pools):
-    async def story(system):
+def test_a_draining_host_reports_it(play_pools):
+    async def scenario(system):
         host = system.hosts[system.other()].host
         host.drain()
         return host_status(host).state
 
-    state, _ = play_pools(story)
+    state, _ = play_pools(scenario)
     assert state == "draining"
 
 
-# Two hosts, asked one after the other, both said that they own the pool, the second
-# with the next token. The first was late: another had taken its pool, and it was asked
-# before it had read of that. What it says of itself rested on the last that it had
-# heard, however old; where the answer to its watch of the store was lost, for seconds.
+# Two hosts, asked one after the other, both reported that they own the pool, the second
+# with the next token. Another host had taken the pool from the first, whose status came
+# from the last record that it had read, however old: seconds old where the answer to
+# its watch of the store was lost. The status must confirm the ownership first.
 @pytest.mark.parametrize("watch", ["just told", "silent"])
-def test_a_host_whose_pool_was_taken_does_not_say_that_it_owns_it(play_pools, watch):
-    async def story(system):
+def test_a_host_whose_pool_was_taken_does_not_report_it_as_owned(play_pools, watch):
+    async def scenario(system):
         owner = system.owner()
         if watch == "silent":
             system.store.silent_watches.add(owner)
@@ -87,20 +87,20 @@
         system.store.put(entry.name, msgspec.json.encode(newer))
         return await current_status(system.hosts[owner].host)
 
-    status, _ = play_pools(story)
+    status, _ = play_pools(scenario)
     assert status.owned is None
 
 
 @pytest.mark.parametrize(("away", "least", "most"), [(0, 0, 0), (3_000, 2_900, 5_000)])
-def test_an_owner_says_how_old_the_confirmation_is(play_pools, away, least, most):
-    # While the store is away nobody can say who has taken the pool meanwhile: the owner
-    # goes on, and its status tells for how long it has not been confirmed.
-    async def story(system):
+def test_an_owner_reports_the_age_of_its_confirmation(play_pools, away, least, most):
+    # While the store is unavailable, the owner cannot know whether another host has
+    # taken the pool. It goes on, and its status reports the age of the confirmation.
+    async def scenario(system):
         owner = system.owner()
         if away:
             system.store.down = True
         await system.clock.sleep(timedelta(milliseconds=away))
         return await current_status(system.hosts[owner].host)
 
-    status, _ = play_pools(story)
+    status, _ = play_pools(scenario)
     assert least <= status.owned.confirmed_ms_ago <= most
--- a/tests/host/test_lost_history.py
+++ b/tests/host/test_lost_history.py
@@ -1,4 +1,4 @@
-"""Check how often the store is asked when it keeps failing."""
+"""Check how often the store is called while it keeps failing."""
 
 from __future__ import annotations
 
@@ -10,18 +10,16 @@
 from brasstray.store.errors import HistoryLostError, StoreUnavailableError
 from brasstray_standins.memory_store import StoreView
 
-WATCHED = timedelta(seconds=3)
-# One try each 150 ms, of the configuration and of the pools, by each of six hosts.
-MOST_TRIES = 6 * 2 * (WATCHED / timedelta(milliseconds=150) + 1)
+DURATION = timedelta(seconds=3)
+# One try per 150 ms for the configuration and for the pools, by each of six hosts.
+MAX_TRIES = 6 * 2 * (DURATION / timedelta(milliseconds=150) + 1)
 
 
-# The store drops its history sooner than hosts come to ask for what came since. Each
-# watch fails at once, and each host reads everything again, without a pause: on a fleet
-# that alone is more than the store serves, so that no host learns of anything.
+# The store discards its history before hosts ask for the changes since their last read,
+# so each watch fails at once. If each host then read everything again without a pause,
+# a fleet would overload the store, and no host would receive any change.
 @pytest.mark.parametrize("error", [HistoryLostError, StoreUnavailableError])
-def test_a_store_whose_watches_all_fail_is_asked_with_pauses(
-    play_pools, monkeypatch, error
-):
+def test_failing_watches_are_retried_with_a_delay(play_pools, monkeypatch, error):
     calls = Counter()
     snapshot = StoreView.snapshot
 
@@ -33,15 +31,15 @@
         calls["watch"] += 1
         raise error(prefix)
 
-    async def story(system):
+    async def scenario(system):
         monkeypatch.setattr(StoreView, "snapshot", counted)
         monkeypatch.setattr(StoreView, "watch", failing)
-        await system.clock.sleep(WATCHED)
+        await system.clock.sleep(DURATION)
         return system.hosts[system.owner()].host.owner is not None
 
-    owned, _ = play_pools(story)
+    owned, _ = play_pools(scenario)
     assert owned
-    assert calls["watch"] <= MOST_TRIES
+    assert calls["watch"] <= MAX_TRIES
     if error is StoreUnavailableError:
-        # The list of minions is read twice a second by each of two owners.
-        assert calls["snapshot"] <= 2 * (WATCHED / timedelta(milliseconds=500) + 1)
+        # Each of two owners polls the list of minions twice a second.
+        assert calls["snapshot"] <= 2 * (DURATION / timedelta(milliseconds=500) + 1)
--- a/tests/host/test_random_streams.py
+++ b/tests/host/test_random_streams.py
@@ -1,6 +1,7 @@
 """Compare hosts and minions under random faults with a naive dispatcher.
 
-The naive one runs each job once, in a process that never fails and has room for all.
+The naive dispatcher runs each job once, in a process that never fails and has capacity
+for all jobs.
 """
 
 from __future__ import annotations
@@ -21,7 +22,7 @@
 from brasstray_standins.leased_minion import Work
 from brasstray_standins.pool_system import CONFIG_KEY, USUAL_NEEDS, PoolSystemSize
 
-# About a second each on a busy machine; more are played by hand.
+# About a second each on a busy machine; more are run by hand.
 EXAMPLES = int(os.environ.get("STREAM_EXAMPLES", "40"))
 SIZE = PoolSystemSize(data_centres=2, hosts_each=2, minions_each=3)
 HOSTS = SIZE.data_centres * SIZE.hosts_each
@@ -35,7 +36,7 @@
 
 @dataclass(frozen=True)
 class Submit:
-    """Hand in a job at a host."""
+    """Submit a job to a host."""
 
     host: int
     width: int
@@ -45,8 +46,8 @@
 
 
 @dataclass(frozen=True)
-class Strike:
-    """Do something to a host, a minion or the store, for a while."""
+class Fault:
+    """Inject a fault into a host, a minion or the store for a limited time."""
 
     what: str
     target: int
@@ -58,12 +59,12 @@
     ms: int
 
 
-DURATIONS = st.sampled_from([20, 60, 60, 200, 900])
+TASK_DURATIONS_MS = st.sampled_from([20, 60, 60, 200, 900])
 SUBMIT = st.builds(
     Submit,
     st.integers(0, HOSTS - 1),
     st.integers(1, 6),
-    DURATIONS,
+    TASK_DURATIONS_MS,
     st.sampled_from([False] * 7 + [True]),
     st.sampled_from([False] * 7 + [True]),
 )
@@ -75,19 +76,19 @@
     st.booleans(),
     st.just(False),
 )
-STRIKE = st.builds(
-    Strike,
+FAULT = st.builds(
+    Fault,
     st.sampled_from(HOST_FAULTS + MINION_FAULTS + STORE_FAULTS),
     st.integers(0, 5),
     st.sampled_from([100, 500, 1_500, 3_000]),
 )
 PAUSE = st.builds(Pause, st.integers(0, 400))
 CALM_STREAMS = st.lists(st.one_of(CALM_SUBMIT, PAUSE), min_size=1, max_size=12)
-STREAMS = st.lists(st.one_of(SUBMIT, SUBMIT, STRIKE, PAUSE), min_size=4, max_size=30)
+STREAMS = st.lists(st.one_of(SUBMIT, SUBMIT, FAULT, PAUSE), min_size=4, max_size=30)
 
 
 class Client:
-    """Submit one job, and send it again if its first answer does not come."""
+    """Submit one job, and submit it again if its outcome stays unknown."""
 
     def __init__(self, system, job, submit):
         self._system = system
@@ -134,15 +135,15 @@
     return f"dc{number % SIZE.data_centres}-m{number // SIZE.data_centres}"
 
 
-class Striker:
-    """Bring about faults, each of which ends after its time."""
+class FaultInjector:
+    """Inject faults, and end each of them after its duration."""
 
     def __init__(self, system):
         self._system = system
         self._version = 1
 
-    async def strike(self, fault):
-        system, lasting = self._system, timedelta(milliseconds=fault.for_ms)
+    async def inject(self, fault):
+        system, duration = self._system, timedelta(milliseconds=fault.for_ms)
         name, minion = host_name(fault.target), minion_name(fault.target)
         running, place = system.hosts.get(name), system.places[minion]
         match fault.what:
@@ -150,18 +151,18 @@
                 if running is not None and len(system.hosts) > 1:
                     system.kill(name)
                     if fault.what == "restart":
-                        await system.clock.sleep(lasting)
+                        await system.clock.sleep(duration)
                         system.start(name, name.partition("-")[0])
             case "freeze" if running is not None:
                 running.gate.close()
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 running.gate.open()
             case "cut host":
-                await self._cut({name}, lasting)
+                await self._cut({name}, duration)
             case "cut centre":
                 centre = f"dc{fault.target % SIZE.data_centres}"
                 inside = {n for n in system.hosts if n.startswith(centre)}
-                await self._cut(inside, lasting)
+                await self._cut(inside, duration)
             case "drain" if running is not None:
                 running.host.drain()
             case "lose" if running is not None:
@@ -173,28 +174,28 @@
                 system.listed = [e for e in system.listed if e.id != minion]
             case "stuck":
                 place.stuck = True
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 place.stuck = False
             case "slow":
                 place.slowness = 6.0
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 place.slowness = 1.0
             case "failing":
                 place.failing = True
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 place.failing = False
             case "cut minion":
                 cut = [running.calls.cut for running in system.hosts.values()]
                 for one in cut:
                     one.add(minion)
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 for one in cut:
                     one.discard(minion)
             case "draining":
                 system.set_draining(minion)
             case "store down":
                 system.store.down = True
-                await system.clock.sleep(lasting)
+                await system.clock.sleep(duration)
                 system.store.down = False
             case "revoke":
                 system.store.remove(f"brasstray/pools/dc{fault.target % 2}")
@@ -204,17 +205,17 @@
                 self._version += 1
                 system.set_config(self._version)
 
-    async def _cut(self, names, lasting):
+    async def _cut(self, names, duration):
         system = self._system
         system.network.cut(dict.fromkeys(names, 1))
         system.store.cut.update(names)
-        await system.clock.sleep(lasting)
+        await system.clock.sleep(duration)
         system.network.cut({})
         system.store.cut.clear()
 
 
 async def play_stream(system, stream):
-    clients, striker = [], Striker(system)
+    clients, injector = [], FaultInjector(system)
     async with anyio.create_task_group() as group:
         for event in stream:
             match event:
@@ -222,11 +223,11 @@
                     client = Client(system, f"{len(clients):016x}", event)
                     clients.append(client)
                     group.start_soon(client.run)
-                case Strike():
-                    group.start_soon(striker.strike, event)
+                case Fault():
+                    group.start_soon(injector.inject, event)
                 case Pause(ms):
                     await system.clock.sleep(timedelta(milliseconds=ms))
-    # Orders that were held back arrive up to 3 s later.
+    # Delayed orders to minions arrive up to 3 s later.
     await system.clock.sleep(timedelta(seconds=5))
     return clients
 
@@ -255,7 +256,7 @@
     clients, system = play_pools(story, SIZE)
     for client, submit in zip(clients, submits, strict=True):
         outcome = client.tries[0]
-        # A naive dispatcher has room for all; this one may say that it has not.
+        # Unlike the naive dispatcher, this one may refuse jobs for lack of capacity.
         assert outcome in (naive_outcome(submit), BatchOutcome.NOT_RUN)
     assert system.book.broken == []
 
@@ -263,10 +264,11 @@
 @settings(max_examples=EXAMPLES, **CHECKS)
 @given(STREAMS)
 def test_under_faults_no_answer_is_untrue(play_pools, stream):
-    # Callers submit, hang up and send again while hosts die, freeze, leave and are cut
-    # off, minions crash, stall and lose orders, and the store fails or drops keys. No
-    # task may be at work twice at once and no minion over its room; what was answered
-    # as done has run, and what was answered as "not run" never does.
+    # Callers submit, disconnect and resubmit while hosts crash, freeze, drain and are
+    # partitioned, minions crash, hang and lose orders, and the store fails or loses
+    # keys. No task may run twice at the same time, and no minion may exceed its
+    # capacity. Jobs answered as succeeded have run; those answered as "not run" never
+    # do.
     async def story(system):
         return await play_stream(system, stream)
 
