--- a/tests/host/test_large_configuration.py
+++ b/tests/host/test_large_configuration.py
@@ -49,7 +49,7 @@
 
 
 def sent(system):
-    return sum(system.network.link_from(name).carried for name in system.hosts)
+    return sum(system.network.link_from(name).bytes_sent for name in system.hosts)
 
 
 @pytest.mark.parametrize(
