--- a/spec/early_end.py
+++ b/spec/fail_fast.py
@@ -10,7 +10,7 @@
     from collections.abc import Callable, Iterable
 
 
-def early_ending(
+def fail_fast_model(
     name: str,
     kind: Any,
     initial: tuple,
@@ -42,4 +42,4 @@
     )
 
 
-__all__ = ["early_ending"]
+__all__ = ["fail_fast_model"]
--- a/spec/job_protocol.py
+++ b/spec/job_protocol.py
@@ -10,7 +10,7 @@
 
 from typing import TYPE_CHECKING
 
-from spec.early_end import early_ending
+from spec.fail_fast import fail_fast_model
 from spec.state import Executor, Leader, Replica, State, initial
 from spec.variant import Variant
 
@@ -27,28 +27,31 @@
 
 def steps(s: State, variant: Variant) -> Iterator[Step]:
     """Yield every step that can come next."""
-    yield from environment(s)
+    yield from crashes_and_outages(s)
     for host in HOSTS:
         yield from submit(s, host)
         yield from start_tasks(s, host)
-        yield from tell_complete(s, host, variant)
+        yield from report_complete(s, host, variant)
         yield from fence(s, host)
-        yield from tell_failed(s, host, variant)
+        yield from report_failed(s, host, variant)
         yield from flush(s, host, variant)
-        if variant is Variant.TAKEOVER_STARTS_AGAIN:
-            yield from start_for_the_dead(s, host)
-    yield from copy(s, variant)
+        if variant is Variant.TAKEOVER_RESTARTS_TASKS:
+            yield from restart_fenced_tasks(s, host)
+    yield from replicate(s, variant)
     yield from take_over(s, variant)
 
 
-def environment(s: State) -> Iterator[Step]:
+def crashes_and_outages(s: State) -> Iterator[Step]:
     """A crashes; the platform goes away once and comes back.
 
     A replica that crashes is one that never replies again: its copies are only
     reached through its replies.
     """
-    if s.a.mode != "dead":
-        yield "A crashes", s._replace(a=Leader("dead"), xa=Executor(alive=False))
+    if s.leader_a.mode != "dead":
+        yield (
+            "A crashes",
+            s._replace(leader_a=Leader("dead"), executor_a=Executor(alive=False)),
+        )
     if s.platform == "up":
         yield "platform goes down", s._replace(platform="down")
     if s.platform == "down":
@@ -64,10 +67,10 @@
         leader = _leader(s, name)
         if leader.mode != "leads":
             continue
-        bound_to = _bound(leader)
-        if bound_to is None and not leader.doubt:
-            yield f"{name} queues bind:{host}", _queue(s, name, f"bind:{host}")
-        elif bound_to == host and _committed(leader, f"bind:{host}"):
+        bound_host = _bound_host(leader)
+        if bound_host is None and not leader.in_doubt:
+            yield f"{name} queues bind:{host}", _enqueue(s, name, f"bind:{host}")
+        elif bound_host == host and _committed(leader, f"bind:{host}"):
             bound = executor._replace(bound=True)
             yield f"{host} may run the job", _with_executor(s, host, bound)
 
@@ -80,28 +83,28 @@
     # Tasks are alike, so one order of starts stands for both.
     task = len(executor.started)
     if task in TASKS:
-        yield f"{host} starts task {task}", _start(s, host, task)
+        yield f"{host} starts task {task}", _start_task(s, host, task)
 
 
-def start_for_the_dead(s: State, host: str) -> Iterator[Step]:
+def restart_fenced_tasks(s: State, host: str) -> Iterator[Step]:
     """Broken: a host starts the tasks of a job whose executor is fenced."""
     executor = _executor(s, host)
     for name in HOSTS:
         leader = _leader(s, name)
-        bound_to = _bound(leader)
-        if not executor.alive or bound_to in (None, host):
+        bound_host = _bound_host(leader)
+        if not executor.alive or bound_host in (None, host):
             continue
-        if f"fence:{bound_to}" in leader.view and 0 not in executor.started:
-            yield f"{host} starts task 0 again", _start(s, host, 0)
+        if f"fence:{bound_host}" in leader.view and 0 not in executor.started:
+            yield f"{host} starts task 0 again", _start_task(s, host, 0)
 
 
-def tell_complete(s: State, host: str, variant: Variant) -> Iterator[Step]:
+def report_complete(s: State, host: str, variant: Variant) -> Iterator[Step]:
     """The executor has the answer committed, and only then tells it."""
     executor = _executor(s, host)
     if not executor.alive or executor.started != frozenset(TASKS):
         return
-    if variant is Variant.TOLD_BEFORE_COMMIT:
-        yield f"{host} tells complete", s._replace(told=s.told | {"complete"})
+    if variant is Variant.REPORTED_BEFORE_COMMIT:
+        yield f"{host} tells complete", s._replace(reported=s.reported | {"complete"})
     for name in HOSTS:
         leader = _leader(s, name)
         if leader.mode != "leads":
@@ -109,31 +112,36 @@
         answer = f"answer:{host}"
         if answer in leader.view:
             if _committed(leader, answer):
-                yield f"{host} tells complete", s._replace(told=s.told | {"complete"})
+                yield (
+                    f"{host} tells complete",
+                    s._replace(reported=s.reported | {"complete"}),
+                )
         elif f"fence:{host}" not in leader.view:
-            yield f"{name} queues {answer}", _queue(s, name, answer)
+            yield f"{name} queues {answer}", _enqueue(s, name, answer)
 
 
 def fence(s: State, host: str) -> Iterator[Step]:
     """A leader that suspects an executor fences it, rightly or wrongly."""
     leader = _leader(s, host)
-    bound_to = _bound(leader)
-    if leader.mode != "leads" or leader.offline or bound_to is None:
+    bound_host = _bound_host(leader)
+    if leader.mode != "leads" or leader.offline or bound_host is None:
         return
-    if f"fence:{bound_to}" not in leader.view:
-        yield f"{host} queues fence", _queue(s, host, f"fence:{bound_to}")
+    if f"fence:{bound_host}" not in leader.view:
+        yield f"{host} queues fence", _enqueue(s, host, f"fence:{bound_host}")
 
 
-def tell_failed(s: State, host: str, variant: Variant) -> Iterator[Step]:
+def report_failed(s: State, host: str, variant: Variant) -> Iterator[Step]:
     """Any host tells of a fenced executor, if no answer was committed before."""
     leader = _leader(s, host)
-    bound_to = _bound(leader)
-    if leader.mode != "leads" or bound_to is None or leader.doubt:
+    bound_host = _bound_host(leader)
+    if leader.mode != "leads" or bound_host is None or leader.in_doubt:
         return
-    mark, answer = f"fence:{bound_to}", f"answer:{bound_to}"
-    flushed = mark not in leader.queue or variant is Variant.FENCE_TOLD_EARLY
-    if mark in leader.view and flushed and answer not in leader.view:
-        yield f"{host} tells failed", s._replace(told=s.told | {"failed"})
+    fence_record, answer = f"fence:{bound_host}", f"answer:{bound_host}"
+    flushed = (
+        fence_record not in leader.queue or variant is Variant.FENCE_REPORTED_EARLY
+    )
+    if fence_record in leader.view and flushed and answer not in leader.view:
+        yield f"{host} tells failed", s._replace(reported=s.reported | {"failed"})
 
 
 def flush(s: State, host: str, variant: Variant) -> Iterator[Step]:
@@ -143,141 +151,171 @@
         return
     if s.platform == "down":
         if not leader.offline:
-            yield f"{host} goes offline", _with_leader(s, host, _offline(leader))
+            yield f"{host} goes offline", _with_leader(s, host, _go_offline(leader))
         return
-    if leader.next_index < len(s.journal):
-        term, records = s.journal[leader.next_index]
+    if leader.next_segment < len(s.journal):
+        term, records = s.journal[leader.next_segment]
         if term != TERM[host]:
             deposed = Leader("deposed")
             yield f"{host} learns it is deposed", _with_leader(s, host, deposed)
         else:
-            known = _flushed(leader, records)
-            yield f"{host} reads its own write back", _with_leader(s, host, known)
+            updated = _after_flush(leader, records)
+            yield f"{host} reads its own write back", _with_leader(s, host, updated)
         return
     written = s._replace(journal=(*s.journal, (TERM[host], leader.queue)))
-    known = _flushed(leader, leader.queue)
-    yield f"{host} writes a segment", _with_leader(written, host, known)
+    updated = _after_flush(leader, leader.queue)
+    yield f"{host} writes a segment", _with_leader(written, host, updated)
     if s.lost_replies_left:
         lost = written._replace(lost_replies_left=0)
         if variant is Variant.LOST_REPLY_IS_FAILURE:
-            forgot = leader._replace(view=leader.view - leader.queue, queue=frozenset())
-            yield f"{host} forgets a lost write", _with_leader(lost, host, forgot)
+            without_write = leader._replace(
+                view=leader.view - leader.queue, queue=frozenset()
+            )
+            yield (
+                f"{host} forgets a lost write",
+                _with_leader(lost, host, without_write),
+            )
         else:
             yield (
                 f"{host} writes, reply lost",
-                _with_leader(lost, host, _offline(leader)),
+                _with_leader(lost, host, _go_offline(leader)),
             )
 
 
-def copy(s: State, variant: Variant) -> Iterator[Step]:
+def replicate(s: State, variant: Variant) -> Iterator[Step]:
     """Offline, the first term's leader copies its queue to each replica.
 
     The queue counts as committed where one replica has it, once all have the notice.
     """
-    if s.a.mode != "leads" or not s.a.offline:
+    if s.leader_a.mode != "leads" or not s.leader_a.offline:
         return
-    for i, replica in enumerate(s.r):
+    for i, replica in enumerate(s.replicas):
         if not replica.alive:
             continue
-        if replica.fenced and variant is not Variant.LATE_COPY_KEPT:
-            yield "A is refused a copy", s._replace(a=Leader("deposed"))
+        if replica.fenced and variant is not Variant.LATE_COPY_ACCEPTED:
+            yield "A is refused a copy", s._replace(leader_a=Leader("deposed"))
             continue
-        held = replica._replace(copies=(replica.copies or frozenset()) | s.a.queue)
-        kept = _with_replica(s, i, held)
-        noticed = s.a.noticed | {i}
-        enough = len(noticed) == len(s.r) or variant is Variant.ONE_NOTICE_ENOUGH
-        copied = s.a.copied | s.a.queue if enough else s.a.copied
-        acked = s.a._replace(noticed=noticed, copied=copied)
-        yield f"R{i} keeps a copy", kept._replace(a=acked)
-        yield f"R{i} keeps a copy, reply lost", kept
+        with_copy = replica._replace(
+            copies=(replica.copies or frozenset()) | s.leader_a.queue
+        )
+        copy_stored = _with_replica(s, i, with_copy)
+        notified_replicas = s.leader_a.notified_replicas | {i}
+        all_notified = (
+            len(notified_replicas) == len(s.replicas)
+            or variant is Variant.ONE_NOTIFICATION_ENOUGH
+        )
+        replicated = (
+            s.leader_a.replicated | s.leader_a.queue
+            if all_notified
+            else s.leader_a.replicated
+        )
+        acknowledged = s.leader_a._replace(
+            notified_replicas=notified_replicas, replicated=replicated
+        )
+        yield f"R{i} keeps a copy", copy_stored._replace(leader_a=acknowledged)
+        yield f"R{i} keeps a copy, reply lost", copy_stored
 
 
 def take_over(s: State, variant: Variant) -> Iterator[Step]:
     """B seals the journal, fences the replicas, and then leads."""
-    if s.b.mode == "standby" and s.platform != "down":
+    if s.leader_b.mode == "standby" and s.platform != "down":
         view = frozenset().union(*(records for _, records in s.journal))
-        sealed = Leader("sealed", view=view, next_index=len(s.journal) + 1)
+        sealed = Leader("sealed", view=view, next_segment=len(s.journal) + 1)
         journal = (*s.journal, (2, frozenset()))
-        yield "B seals the journal", s._replace(b=sealed, journal=journal)
-    if s.b.mode != "sealed":
+        yield "B seals the journal", s._replace(leader_b=sealed, journal=journal)
+    if s.leader_b.mode != "sealed":
         return
-    for i, replica in enumerate(s.r):
+    for i, replica in enumerate(s.replicas):
         if replica.alive and s.replies[i] == "unasked":
             replies = list(s.replies)
             replies[i] = replica.copies
             fenced = _with_replica(s, i, replica._replace(fenced=True))
             yield f"B fences R{i}", fenced._replace(replies=tuple(replies))
-    gathered = [r for r in s.replies if r != "unasked"]
-    clean = None in gathered
-    if clean or len(gathered) == len(s.r) or variant is Variant.REPLICAS_NOT_READ:
-        yield "B leads", _lead(s, gathered, doubt=False)
+    fence_replies = [r for r in s.replies if r != "unasked"]
+    never_offline = None in fence_replies
+    if (
+        never_offline
+        or len(fence_replies) == len(s.replicas)
+        or variant is Variant.REPLICAS_NOT_READ
+    ):
+        yield "B leads", _begin_term(s, fence_replies, in_doubt=False)
     else:
-        doubt = variant is not Variant.NO_DOUBT
-        yield "B leads in doubt", _lead(s, gathered, doubt=doubt)
+        in_doubt = variant is not Variant.DOUBT_IGNORED
+        yield "B leads in doubt", _begin_term(s, fence_replies, in_doubt=in_doubt)
 
 
-def _lead(s: State, gathered: list, doubt: bool) -> State:
-    copies = frozenset().union(*(records or frozenset() for records in gathered))
-    view = s.b.view | copies
+def _begin_term(s: State, fence_replies: list, in_doubt: bool) -> State:
+    copies = frozenset().union(*(records or frozenset() for records in fence_replies))
+    view = s.leader_b.view | copies
     # Recovered copies are appended in the step that begins to lead: until the append
     # is known to be done, B serves nothing.
     if s.platform == "down":
         return s
     journal = (*s.journal, (2, copies))
-    leader = Leader("leads", view=view, doubt=doubt, next_index=len(journal))
-    return s._replace(b=leader, journal=journal, replies=("done", "done"))
+    leader = Leader("leads", view=view, in_doubt=in_doubt, next_segment=len(journal))
+    return s._replace(leader_b=leader, journal=journal, replies=("done", "done"))
 
 
 def _leader(s: State, host: str) -> Leader:
-    return s.a if host == "a" else s.b
+    return s.leader_a if host == "a" else s.leader_b
 
 
 def _executor(s: State, host: str) -> Executor:
-    return s.xa if host == "a" else s.xb
+    return s.executor_a if host == "a" else s.executor_b
 
 
 def _with_leader(s: State, host: str, leader: Leader) -> State:
-    return s._replace(a=leader) if host == "a" else s._replace(b=leader)
+    return s._replace(leader_a=leader) if host == "a" else s._replace(leader_b=leader)
 
 
 def _with_executor(s: State, host: str, executor: Executor) -> State:
-    return s._replace(xa=executor) if host == "a" else s._replace(xb=executor)
+    return (
+        s._replace(executor_a=executor)
+        if host == "a"
+        else s._replace(executor_b=executor)
+    )
 
 
 def _with_replica(s: State, i: int, replica: Replica) -> State:
-    return s._replace(r=(replica, s.r[1]) if i == 0 else (s.r[0], replica))
+    return s._replace(
+        replicas=(replica, s.replicas[1]) if i == 0 else (s.replicas[0], replica)
+    )
 
 
-def _queue(s: State, host: str, record: str) -> State:
+def _enqueue(s: State, host: str, record: str) -> State:
     leader = _leader(s, host)
     queued = leader._replace(view=leader.view | {record}, queue=leader.queue | {record})
     return _with_leader(s, host, queued)
 
 
-def _bound(leader: Leader) -> str | None:
+def _bound_host(leader: Leader) -> str | None:
     return next((h for h in HOSTS if f"bind:{h}" in leader.view), None)
 
 
 def _committed(leader: Leader, record: str) -> bool:
-    known = record not in leader.queue or record in leader.copied
-    return record in leader.view and known
+    stored = record not in leader.queue or record in leader.replicated
+    return record in leader.view and stored
 
 
-def _offline(leader: Leader) -> Leader:
-    return leader._replace(offline=True, noticed=frozenset(), copied=frozenset())
+def _go_offline(leader: Leader) -> Leader:
+    return leader._replace(
+        offline=True, notified_replicas=frozenset(), replicated=frozenset()
+    )
 
 
-def _flushed(leader: Leader, records: frozenset[str]) -> Leader:
+def _after_flush(leader: Leader, records: frozenset[str]) -> Leader:
     queue = leader.queue - records
     online = leader._replace(
-        queue=queue, copied=leader.copied & queue, next_index=leader.next_index + 1
+        queue=queue,
+        replicated=leader.replicated & queue,
+        next_segment=leader.next_segment + 1,
     )
     if queue:
         return online
-    return online._replace(offline=False, noticed=frozenset())
+    return online._replace(offline=False, notified_replicas=frozenset())
 
 
-def _start(s: State, host: str, task: int) -> State:
+def _start_task(s: State, host: str, task: int) -> State:
     executor = _executor(s, host)
     starts = list(s.starts)
     starts[task] += 1
@@ -292,18 +330,18 @@
 
 def no_two_answers(s: dict) -> bool:
     """The caller is never told two different answers."""
-    return not {"complete", "failed"} <= s["told"]
+    return not {"complete", "failed"} <= s["reported"]
 
 
 def no_partial_answer(s: dict) -> bool:
     """A job told as complete has had each task started."""
-    return "complete" not in s["told"] or all(s["starts"])
+    return "complete" not in s["reported"] or all(s["starts"])
 
 
 def record_matches(s: dict) -> bool:
     """What was told of a fenced executor is what the journal has."""
     records = frozenset().union(*(records for _, records in s["journal"]))
-    return "failed" not in s["told"] or bool(records & {"fence:a", "fence:b"})
+    return "failed" not in s["reported"] or bool(records & {"fence:a", "fence:b"})
 
 
 INVARIANTS = {
@@ -314,7 +352,7 @@
 
 def model(variant: Variant = Variant.AS_DESIGNED) -> Protocol:
     """Return the protocol, as designed or broken, for the checker."""
-    return early_ending(
+    return fail_fast_model(
         variant.value, State, initial(), lambda s: steps(s, variant), INVARIANTS
     )
 
--- a/spec/pool_protocol.py
+++ b/spec/pool_protocol.py
@@ -14,7 +14,7 @@
 from enum import Enum
 from typing import TYPE_CHECKING, NamedTuple
 
-from spec.early_end import early_ending
+from spec.fail_fast import fail_fast_model
 
 if TYPE_CHECKING:
     from collections.abc import Iterator
@@ -24,22 +24,32 @@
 Step = tuple[str, "State"]
 MINIONS = (0, 1)
 # Enough for a task to be sent, lost, sent elsewhere, and found by the second owner.
-MOST_RUNS = 2
+MAX_RUNS = 2
 
 
 class PoolVariant(Enum):
     """Choose which rule, if any, the modelled protocol leaves out."""
 
     AS_DESIGNED = "as designed"
-    UNFENCED = "a new owner starts tasks before it has fenced every minion"
-    OUTCOME_UNKNOWN = "a task whose start was not answered is started elsewhere at once"
+    START_BEFORE_FENCING = "a new owner starts tasks before it has fenced every minion"
+    NO_REPLY_IS_REFUSAL = (
+        "a task whose start was not answered is started elsewhere at once"
+    )
     SILENT_IS_DEAD = "a silent minion's tasks are started elsewhere before they lapse"
-    HOLD_FIRST = "a minion back in reach is held before late starts are stopped there"
-    UNCONFIRMED = "tasks that expired are started again by an owner that was replaced"
-    UNEXTENDED = "tasks that expired are started again though an extension is held up"
-    FOREIGN_LEASE = "a lease that an earlier owner gave is taken for over"
-    UNSTOPPED = "a run that is being stopped is taken for ended by a new owner"
-    FORGETFUL = "a job is said not to have run although a start was sent"
+    LEASE_BEFORE_STOP = (
+        "a minion back in reach is held before late starts are stopped there"
+    )
+    OWNERSHIP_UNCONFIRMED = (
+        "tasks that expired are started again by an owner that was replaced"
+    )
+    DELAYED_EXTENSION_IGNORED = (
+        "tasks that expired are started again though an extension is held up"
+    )
+    FOREIGN_LEASE_IGNORED = "a lease that an earlier owner gave is taken for over"
+    PENDING_STOP_IGNORED = (
+        "a run that is being stopped is taken for ended by a new owner"
+    )
+    SENT_START_FORGOTTEN = "a job is said not to have run although a start was sent"
 
 
 class Minion(NamedTuple):
@@ -54,19 +64,19 @@
     token: int = 1
     lease: bool = True
     running: int = 0
-    barred: int = 0
-    extended: bool = False
+    highest_barred_run: int = 0
+    late_extension: bool = False
     leased_by: int = 1
     stopping: int = 0
 
 
-class Order(NamedTuple):
+class StartMessage(NamedTuple):
     """A start under way; `fresh` while the lease that it carries has not passed."""
 
     minion: int
     token: int
     run: int
-    fresh: bool = True
+    lease_valid: bool = True
 
 
 class Extension(NamedTuple):
@@ -86,17 +96,17 @@
     phase: str
     minion: int = 0
     run: int = 0
-    unsettled: frozenset[tuple[int, int]] = frozenset()
+    unanswered_starts: frozenset[tuple[int, int]] = frozenset()
     fenced: frozenset[int] = frozenset()
-    out_of_reach: frozenset[int] = frozenset()
-    held_up: int | None = None
+    unreachable: frozenset[int] = frozenset()
+    delayed_extension: int | None = None
 
 
 class State(NamedTuple):
     """The whole system."""
 
     minions: tuple[Minion, Minion]
-    orders: frozenset[Order]
+    start_messages: frozenset[StartMessage]
     first: Owner
     second: Owner
     sent: bool = False
@@ -107,84 +117,97 @@
 
 def initial() -> State:
     """Return the state in which the first owner has the task and has not sent it."""
-    reached = frozenset(MINIONS)
+    all_minions = frozenset(MINIONS)
     return State(
         (Minion(), Minion()),
         frozenset(),
-        Owner("waiting", fenced=reached),
+        Owner("waiting", fenced=all_minions),
         Owner("away"),
     )
 
 
 def steps(s: State, variant: PoolVariant) -> Iterator[Step]:
     """Yield every step that can come next."""
-    yield from arrivals(s)
+    yield from deliver(s)
     for name, token in (("first", 1), ("second", 2)):
         owner: Owner = getattr(s, name)
         if owner.phase == "away":
             continue
-        yield from place(s, name, token, owner, variant)
-        yield from hear(s, name, token, owner)
-        yield from settle(s, name, token, owner, variant)
-        yield from lose_sight(s, name, owner, variant)
-        yield from regain(s, name, token, owner, variant)
-        yield from miss(s, name, token, owner)
+        yield from send_start(s, name, token, owner, variant)
+        yield from observe_run(s, name, token, owner)
+        yield from resolve_start(s, name, token, owner, variant)
+        yield from lose_contact(s, name, owner, variant)
+        yield from restore_contact(s, name, token, owner, variant)
+        yield from delay_extension(s, name, token, owner)
     yield from take_over(s, variant)
-    yield from refuse(s, variant)
+    yield from refuse_job(s, variant)
 
 
-def arrivals(s: State) -> Iterator[Step]:
+def deliver(s: State) -> Iterator[Step]:
     """A start arrives, now or late; the minion obeys the highest token only."""
-    for order in s.orders:
-        minion = s.minions[order.minion]
-        left = s._replace(orders=s.orders - {order})
-        allowed = order.token >= minion.token and order.run > minion.barred
-        if allowed and (order.fresh or minion.lease) and not minion.running:
+    for message in s.start_messages:
+        minion = s.minions[message.minion]
+        left = s._replace(start_messages=s.start_messages - {message})
+        allowed = (
+            message.token >= minion.token and message.run > minion.highest_barred_run
+        )
+        if allowed and (message.lease_valid or minion.lease) and not minion.running:
             begun = minion._replace(
-                token=order.token,
-                running=order.run,
+                token=message.token,
+                running=message.run,
                 lease=True,
-                barred=order.run,
-                leased_by=order.token,
+                highest_barred_run=message.run,
+                leased_by=message.token,
+            )
+            yield (
+                f"run {message.run} begins on {message.minion}",
+                _with_receiver(left, message, begun),
             )
-            yield f"run {order.run} begins on {order.minion}", _put(left, order, begun)
         else:
-            yield f"run {order.run} is rejected by {order.minion}", left
+            yield f"run {message.run} is rejected by {message.minion}", left
     if s.extension is not None:
         number, token = s.extension
         arrived = s._replace(extension=None)
         if token >= s.minions[number].token:
-            extended = s.minions[number]._replace(extended=True, lease=True)
-            arrived = _with(arrived, number, extended)
+            extended = s.minions[number]._replace(late_extension=True, lease=True)
+            arrived = _with_minion(arrived, number, extended)
         yield f"an extension comes late to {number}", arrived
     for number, minion in enumerate(s.minions):
         if minion.running:
             ended = minion._replace(running=0)
-            yield f"the run on {number} ends", _with(s, number, ended)
+            yield f"the run on {number} ends", _with_minion(s, number, ended)
         if minion.stopping:
             stopped = minion._replace(stopping=0)
-            yield f"the stop on {number} is carried out", _with(s, number, stopped)
+            yield (
+                f"the stop on {number} is carried out",
+                _with_minion(s, number, stopped),
+            )
 
 
-def place(
+def send_start(
     s: State, name: str, token: int, owner: Owner, variant: PoolVariant
 ) -> Iterator[Step]:
     """An owner that knows the task to be nowhere starts it on a minion in reach."""
-    if owner.phase != "waiting" or s.refused or owner.run >= MOST_RUNS:
+    if owner.phase != "waiting" or s.refused or owner.run >= MAX_RUNS:
         return
-    if owner.fenced != frozenset(MINIONS) and variant is not PoolVariant.UNFENCED:
+    if (
+        owner.fenced != frozenset(MINIONS)
+        and variant is not PoolVariant.START_BEFORE_FENCING
+    ):
         return
-    for number in sorted(owner.fenced - owner.out_of_reach):
+    for number in sorted(owner.fenced - owner.unreachable):
         run = owner.run + 1
-        order = Order(number, token, run)
+        message = StartMessage(number, token, run)
         placed = owner._replace(phase="sent", minion=number, run=run)
-        state = s._replace(orders=s.orders | {order}, sent=True, **{name: placed})
+        state = s._replace(
+            start_messages=s.start_messages | {message}, sent=True, **{name: placed}
+        )
         yield f"{name} sends run {run} to {number}", state
 
 
-def hear(s: State, name: str, token: int, owner: Owner) -> Iterator[Step]:
+def observe_run(s: State, name: str, token: int, owner: Owner) -> Iterator[Step]:
     """A look tells the owner that its run is at work, or an end that it is over."""
-    if owner.phase not in ("sent", "active") or owner.minion in owner.out_of_reach:
+    if owner.phase not in ("sent", "active") or owner.minion in owner.unreachable:
         return
     minion = s.minions[owner.minion]
     if minion.token > token:
@@ -201,74 +224,74 @@
     if owner.phase == "active" and minion.running == owner.run:
         # It is so slow that the task is better run elsewhere.
         stopped = owner._replace(phase="stopping")
-        state = _with(s, owner.minion, _stop(minion, owner.run))
+        state = _with_minion(s, owner.minion, _stop(minion, owner.run))
         yield f"{name} has its slow run stopped", state._replace(**{name: stopped})
 
 
-def settle(
+def resolve_start(
     s: State, name: str, token: int, owner: Owner, variant: PoolVariant
 ) -> Iterator[Step]:
     """A start was not answered: a stop that is answered bars the run for good.
 
     What is being stopped is waited for.
     """
-    if owner.minion in owner.out_of_reach:
+    if owner.minion in owner.unreachable:
         return
     if owner.phase == "stopping" and not s.minions[owner.minion].stopping:
-        over = owner._replace(phase="waiting")
-        yield f"{name} hears that its run was stopped", s._replace(**{name: over})
+        finished = owner._replace(phase="waiting")
+        yield f"{name} hears that its run was stopped", s._replace(**{name: finished})
     if owner.phase != "sent":
         return
-    if variant is PoolVariant.OUTCOME_UNKNOWN:
+    if variant is PoolVariant.NO_REPLY_IS_REFUSAL:
         again = owner._replace(phase="waiting")
         yield f"{name} takes silence for a refusal", s._replace(**{name: again})
     minion = s.minions[owner.minion]
     if minion.token <= token:
         stopped = _stop(minion, owner.run)
-        settled = owner._replace(phase="stopping" if stopped.stopping else "waiting")
-        state = _with(s, owner.minion, stopped)._replace(**{name: settled})
+        resolved = owner._replace(phase="stopping" if stopped.stopping else "waiting")
+        state = _with_minion(s, owner.minion, stopped)._replace(**{name: resolved})
         yield f"{name} has its run stopped", state
 
 
-def miss(s: State, name: str, token: int, owner: Owner) -> Iterator[Step]:
+def delay_extension(s: State, name: str, token: int, owner: Owner) -> Iterator[Step]:
     """An extension has no answer, and its minion answers a later call."""
     if not s.extensions_left or owner.phase not in ("sent", "active"):
         return
     number = owner.minion
-    if number in owner.out_of_reach or s.minions[number].token > token:
+    if number in owner.unreachable or s.minions[number].token > token:
         return
-    missed = owner._replace(held_up=number)
+    missed = owner._replace(delayed_extension=number)
     state = s._replace(
         extension=Extension(number, token), extensions_left=0, **{name: missed}
     )
     yield f"an extension of {name} to {number} is held up", state
 
 
-def lose_sight(
+def lose_contact(
     s: State, name: str, owner: Owner, variant: PoolVariant
 ) -> Iterator[Step]:
     """The task's minion falls silent; in time every lease there is over for sure.
 
     Silence of the other is a step that never comes: nothing need be sent there.
     """
-    at_work = owner.phase in ("sent", "found", "active", "stopping")
-    if at_work and owner.minion not in owner.out_of_reach:
+    may_run = owner.phase in ("sent", "found", "active", "stopping")
+    if may_run and owner.minion not in owner.unreachable:
         number = owner.minion
-        silent = owner._replace(out_of_reach=owner.out_of_reach | {number})
+        silent = owner._replace(unreachable=owner.unreachable | {number})
         if owner.phase == "sent":
-            bars = owner.unsettled | {(number, owner.run)}
-            silent = silent._replace(unsettled=bars)
-        early = variant is PoolVariant.SILENT_IS_DEAD
-        silent = silent._replace(phase="waiting" if early else "silent")
+            unanswered = owner.unanswered_starts | {(number, owner.run)}
+            silent = silent._replace(unanswered_starts=unanswered)
+        ignores_lease = variant is PoolVariant.SILENT_IS_DEAD
+        silent = silent._replace(phase="waiting" if ignores_lease else "silent")
         yield f"{number} falls silent to {name}", s._replace(**{name: silent})
     if owner.phase == "silent":
         # The owner asks the store whether it still owns the pool. A successor may have
         # extended the lease that it takes for over.
         replaced = name == "first" and s.second.phase != "away"
-        certain = not replaced or variant is PoolVariant.UNCONFIRMED
-        if owner.held_up == owner.minion:
-            certain = certain and variant is PoolVariant.UNEXTENDED
-        if certain:
+        confirmed = not replaced or variant is PoolVariant.OWNERSHIP_UNCONFIRMED
+        if owner.delayed_extension == owner.minion:
+            confirmed = confirmed and variant is PoolVariant.DELAYED_EXTENSION_IGNORED
+        if confirmed:
             expired = _expire(s, name, owner, variant)
             yield f"the lease on {owner.minion} lapses", expired
         else:
@@ -278,39 +301,47 @@
 
 def _expire(s: State, name: str, owner: Owner, variant: PoolVariant) -> State:
     number = owner.minion
-    orders = frozenset(
-        order._replace(fresh=False) if order.minion == number else order
-        for order in s.orders
+    start_messages = frozenset(
+        message._replace(lease_valid=False) if message.minion == number else message
+        for message in s.start_messages
     )
     expired = s.minions[number]
     token = 1 if name == "first" else 2
-    reckoned = expired.leased_by == token or variant is not PoolVariant.FOREIGN_LEASE
-    if expired.token == token and reckoned and not expired.extended:
+    lease_known = (
+        expired.leased_by == token or variant is not PoolVariant.FOREIGN_LEASE_IGNORED
+    )
+    if expired.token == token and lease_known and not expired.late_extension:
         expired = expired._replace(lease=False, running=0, stopping=0)
     freed = owner._replace(phase="waiting")
-    return _with(s, number, expired)._replace(orders=orders, **{name: freed})
+    return _with_minion(s, number, expired)._replace(
+        start_messages=start_messages, **{name: freed}
+    )
 
 
-def regain(
+def restore_contact(
     s: State, name: str, token: int, owner: Owner, variant: PoolVariant
 ) -> Iterator[Step]:
     """A minion is in reach again: stop what may come late there, then hold it."""
-    for number in sorted(owner.out_of_reach):
+    for number in sorted(owner.unreachable):
         minion = s.minions[number]
         if minion.token > token or (owner.phase == "silent" and owner.minion == number):
             continue
-        settled = frozenset(bar for bar in owner.unsettled if bar[0] == number)
-        if variant is not PoolVariant.HOLD_FIRST:
-            for _, run in settled:
+        resolved = frozenset(
+            start for start in owner.unanswered_starts if start[0] == number
+        )
+        if variant is not PoolVariant.LEASE_BEFORE_STOP:
+            for _, run in resolved:
                 minion = _stop(minion, run)
-        back = owner._replace(
-            out_of_reach=owner.out_of_reach - {number},
-            unsettled=owner.unsettled - settled,
+        restored = owner._replace(
+            unreachable=owner.unreachable - {number},
+            unanswered_starts=owner.unanswered_starts - resolved,
+        )
+        leased = minion._replace(
+            lease=True, token=token, late_extension=False, leased_by=token
         )
-        held = minion._replace(lease=True, token=token, extended=False, leased_by=token)
         yield (
             f"{name} holds {number} again",
-            _with(s, number, held)._replace(**{name: back}),
+            _with_minion(s, number, leased)._replace(**{name: restored}),
         )
 
 
@@ -323,7 +354,7 @@
     owner = s.second
     if owner.phase == "away":
         taken = Owner("settling", run=0)
-        if variant is PoolVariant.UNFENCED:
+        if variant is PoolVariant.START_BEFORE_FENCING:
             taken = Owner("waiting", run=0)
         yield "second takes the pool", s._replace(second=taken)
         return
@@ -336,45 +367,45 @@
             seen = seen._replace(phase="found", minion=number, run=minion.running)
         elif minion.running and owner.phase == "waiting":
             seen = seen._replace(phase="active", minion=number, run=minion.running)
-        fenced = minion._replace(token=2, extended=False)
+        fenced = minion._replace(token=2, late_extension=False)
         yield (
             f"second looks at {number}",
-            _with(s, number, fenced)._replace(second=seen),
+            _with_minion(s, number, fenced)._replace(second=seen),
         )
-    for number in sorted(owner.fenced - owner.out_of_reach):
+    for number in sorted(owner.fenced - owner.unreachable):
         minion = s.minions[number]
         if minion.leased_by != 2:
-            held = minion._replace(lease=True, leased_by=2)
-            yield f"second holds {number}", _with(s, number, held)
+            leased = minion._replace(lease=True, leased_by=2)
+            yield f"second holds {number}", _with_minion(s, number, leased)
     stopped = not any(minion.stopping for minion in s.minions)
-    known = stopped or variant is PoolVariant.UNSTOPPED
-    all_seen = owner.fenced == frozenset(MINIONS) and known
+    no_pending_stop = stopped or variant is PoolVariant.PENDING_STOP_IGNORED
+    all_seen = owner.fenced == frozenset(MINIONS) and no_pending_stop
     if all_seen and owner.phase in ("settling", "found"):
         phase = "waiting" if owner.phase == "settling" else "active"
-        settled = owner._replace(phase=phase)
-        yield "second knows what runs", s._replace(second=settled)
+        resolved = owner._replace(phase=phase)
+        yield "second knows what runs", s._replace(second=resolved)
 
 
-def refuse(s: State, variant: PoolVariant) -> Iterator[Step]:
+def refuse_job(s: State, variant: PoolVariant) -> Iterator[Step]:
     """The caller is told that the job has not run; nothing of it is sent after that."""
     if s.refused or s.first.phase != "waiting":
         return
-    if not s.sent or variant is PoolVariant.FORGETFUL:
+    if not s.sent or variant is PoolVariant.SENT_START_FORGOTTEN:
         yield "the job is refused as not run", s._replace(refused=True)
 
 
 def _stop(minion: Minion, run: int) -> Minion:
-    barred = minion._replace(barred=max(minion.barred, run))
+    barred = minion._replace(highest_barred_run=max(minion.highest_barred_run, run))
     if minion.running and minion.running <= run:
         return barred._replace(running=0, stopping=minion.running)
     return barred
 
 
-def _put(s: State, order: Order, minion: Minion) -> State:
-    return _with(s, order.minion, minion)
+def _with_receiver(s: State, message: StartMessage, minion: Minion) -> State:
+    return _with_minion(s, message.minion, minion)
 
 
-def _with(s: State, number: int, minion: Minion) -> State:
+def _with_minion(s: State, number: int, minion: Minion) -> State:
     minions = list(s.minions)
     minions[number] = minion
     return s._replace(minions=tuple(minions))
@@ -395,7 +426,7 @@
 
 def pool_model(variant: PoolVariant = PoolVariant.AS_DESIGNED) -> Protocol:
     """Return the protocol, as designed or broken, for the checker."""
-    return early_ending(
+    return fail_fast_model(
         variant.value, State, initial(), lambda s: steps(s, variant), POOL_INVARIANTS
     )
 
--- a/spec/resend_timing.py
+++ b/spec/resend_timing.py
@@ -36,20 +36,20 @@
     lease: int
     orphan_timeout: int
     stop_time: int
-    heard_until_told: int
+    give_up_delay: int
     resend: int
 
 
-def designed() -> Intervals:
+def configured_intervals() -> Intervals:
     """Return the intervals that the code works by."""
     pool, coordinator = PoolTiming(), CoordinatorTiming()
-    slowest = pool.lease / (1 - pool.clock_rate_error)
+    slow_clock_lease = pool.lease / (1 - pool.clock_rate_error)
     return Intervals(
         requester_silence=_ticks(pool.requester_silence),
-        lease=_ticks(slowest),
+        lease=_ticks(slow_clock_lease),
         orphan_timeout=_ticks(pool.orphan_timeout + pool.recovery_timeout),
         stop_time=_ticks(pool.stop_time),
-        heard_until_told=coordinator.lost_pool_timeout // TICK,
+        give_up_delay=coordinator.lost_pool_timeout // TICK,
         resend=RESEND // TICK,
     )
 
@@ -81,7 +81,7 @@
         intervals.lease,
         None,
         None,
-        intervals.heard_until_told + intervals.resend,
+        intervals.give_up_delay + intervals.resend,
         True,
     )
 
@@ -93,8 +93,8 @@
         dead = s._replace(owner="dead", lease_left=intervals.lease, stop_left=None)
         yield "the owner dies", dead
     if s.owner == "dead" and s.running:
-        taken = s._replace(owner="second", orphan_left=intervals.orphan_timeout)
-        yield "another takes over", taken
+        taken_over = s._replace(owner="second", orphan_left=intervals.orphan_timeout)
+        yield "another takes over", taken_over
     if s.resend_left > 0:
         yield "a tick passes", _tick(s, intervals)
 
@@ -104,8 +104,10 @@
     lease = intervals.lease if s.owner != "dead" else max(0, s.lease_left - 1)
     orphan = None if s.orphan_left is None else max(0, s.orphan_left - 1)
     stop = None if s.stop_left is None else max(0, s.stop_left - 1)
-    due = (s.owner == "first" and silence == 0) or (s.owner == "second" and orphan == 0)
-    if due and stop is None:
+    must_stop = (s.owner == "first" and silence == 0) or (
+        s.owner == "second" and orphan == 0
+    )
+    if must_stop and stop is None:
         stop = intervals.stop_time
     running = s.running and lease > 0 and stop != 0
     return State(s.owner, silence, lease, orphan, stop, s.resend_left - 1, running)
@@ -128,4 +130,4 @@
     )
 
 
-__all__ = ["Intervals", "designed", "resend_model"]
+__all__ = ["Intervals", "configured_intervals", "resend_model"]
--- a/spec/state.py
+++ b/spec/state.py
@@ -18,11 +18,11 @@
     mode: str  # "standby", "sealed", "leads", "deposed" or "dead"
     view: Records = NOTHING
     queue: Records = NOTHING
-    copied: Records = NOTHING
+    replicated: Records = NOTHING
     offline: bool = False
-    noticed: frozenset[int] = frozenset()
-    doubt: bool = False
-    next_index: int = 0
+    notified_replicas: frozenset[int] = frozenset()
+    in_doubt: bool = False
+    next_segment: int = 0
 
 
 class Replica(NamedTuple):
@@ -51,14 +51,14 @@
     journal: tuple[tuple[int, Records], ...]
     platform: str  # "up", "down" or "up again"
     lost_replies_left: int
-    a: Leader
-    b: Leader
+    leader_a: Leader
+    leader_b: Leader
     replies: tuple[Records | None | str, ...]  # what each replica told B
-    r: tuple[Replica, Replica]
-    xa: Executor
-    xb: Executor
+    replicas: tuple[Replica, Replica]
+    executor_a: Executor
+    executor_b: Executor
     starts: tuple[int, int]
-    told: Records
+    reported: Records
 
 
 def initial() -> State:
@@ -67,14 +67,14 @@
         journal=((1, NOTHING),),
         platform="up",
         lost_replies_left=1,
-        a=Leader("leads", next_index=1),
-        b=Leader("standby"),
+        leader_a=Leader("leads", next_segment=1),
+        leader_b=Leader("standby"),
         replies=("unasked", "unasked"),
-        r=(Replica(), Replica()),
-        xa=Executor(),
-        xb=Executor(),
+        replicas=(Replica(), Replica()),
+        executor_a=Executor(),
+        executor_b=Executor(),
         starts=(0, 0),
-        told=NOTHING,
+        reported=NOTHING,
     )
 
 
--- a/tests/spec/test_job_protocol.py
+++ b/tests/spec/test_job_protocol.py
@@ -10,13 +10,13 @@
 
 MAX_STATES = 1_000_000
 BROKEN = {
-    Variant.LATE_COPY_KEPT: "no_second_start",
+    Variant.LATE_COPY_ACCEPTED: "no_second_start",
     Variant.REPLICAS_NOT_READ: "no_second_start",
-    Variant.ONE_NOTICE_ENOUGH: "no_second_start",
-    Variant.NO_DOUBT: "no_second_start",
-    Variant.TOLD_BEFORE_COMMIT: "no_two_answers",
-    Variant.FENCE_TOLD_EARLY: "record_matches",
-    Variant.TAKEOVER_STARTS_AGAIN: "no_second_start",
+    Variant.ONE_NOTIFICATION_ENOUGH: "no_second_start",
+    Variant.DOUBT_IGNORED: "no_second_start",
+    Variant.REPORTED_BEFORE_COMMIT: "no_two_answers",
+    Variant.FENCE_REPORTED_EARLY: "record_matches",
+    Variant.TAKEOVER_RESTARTS_TASKS: "no_second_start",
     Variant.LOST_REPLY_IS_FAILURE: "no_second_start",
 }
 
--- a/tests/spec/test_pool_protocol.py
+++ b/tests/spec/test_pool_protocol.py
@@ -8,19 +8,19 @@
 from minicheck import check_safety
 
 from spec.pool_protocol import POOL_INVARIANTS, PoolVariant, pool_model
-from spec.resend_timing import designed, resend_model
+from spec.resend_timing import configured_intervals, resend_model
 
 MAX_STATES = 3_000_000
 BROKEN = {
-    PoolVariant.UNFENCED: "never_two_runs",
-    PoolVariant.OUTCOME_UNKNOWN: "never_two_runs",
+    PoolVariant.START_BEFORE_FENCING: "never_two_runs",
+    PoolVariant.NO_REPLY_IS_REFUSAL: "never_two_runs",
     PoolVariant.SILENT_IS_DEAD: "never_two_runs",
-    PoolVariant.HOLD_FIRST: "never_two_runs",
-    PoolVariant.UNCONFIRMED: "never_two_runs",
-    PoolVariant.UNEXTENDED: "never_two_runs",
-    PoolVariant.FOREIGN_LEASE: "never_two_runs",
-    PoolVariant.UNSTOPPED: "never_two_runs",
-    PoolVariant.FORGETFUL: "not_run_is_true",
+    PoolVariant.LEASE_BEFORE_STOP: "never_two_runs",
+    PoolVariant.OWNERSHIP_UNCONFIRMED: "never_two_runs",
+    PoolVariant.DELAYED_EXTENSION_IGNORED: "never_two_runs",
+    PoolVariant.FOREIGN_LEASE_IGNORED: "never_two_runs",
+    PoolVariant.PENDING_STOP_IGNORED: "never_two_runs",
+    PoolVariant.SENT_START_FORGOTTEN: "not_run_is_true",
 }
 
 
@@ -50,7 +50,7 @@
 
 
 def test_runs_have_ended_before_the_client_sends_the_job_again():
-    assert holds(designed())
+    assert holds(configured_intervals())
 
 
 @pytest.mark.parametrize(
@@ -59,8 +59,8 @@
         {"requester_silence": 60},
         {"lease": 70},
         {"orphan_timeout": 60},
-        {"heard_until_told": 0},
+        {"give_up_delay": 0},
     ],
 )
 def test_longer_intervals_break_the_inequality(change):
-    assert not holds(replace(designed(), **change))
+    assert not holds(replace(configured_intervals(), **change))
