--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -12,119 +12,119 @@
 from brasstray.store.host_kind import HostState
 from brasstray_standins.memory_system import RERUN, SystemSize, leave_job
 from brasstray_standins.minion import MinionMode
-from tests.failures.play import Play
+from tests.failures.scenario_context import ScenarioContext
 
 TIME_LIMIT_SECONDS = 2 * 3_600
 
 
-class Script:
+class ScenarioScript:
     """Collect actions, and run them once when the first check asks."""
 
     def __init__(self, run):
         self.size = SystemSize()
         self._run = run
         self._actions = []
-        self._play = None
+        self._context = None
 
     def add(self, action):
         self._actions.append(action)
 
     @property
-    def play(self):
-        if self._play is None:
-            self._play = self._run(self._perform, self.size)
-        return self._play
+    def context(self):
+        if self._context is None:
+            self._context = self._run(self._run_actions, self.size)
+        return self._context
 
-    async def _perform(self, system):
+    async def _run_actions(self, system):
         with anyio.fail_after(TIME_LIMIT_SECONDS):
             async with anyio.create_task_group() as callers:
-                play = Play(system, callers, system.key("leave-4711"))
+                context = ScenarioContext(system, callers, system.key("leave-4711"))
                 for action in self._actions:
-                    result = action(play)
+                    result = action(context)
                     if result is not None:
                         await result
                 await anyio.sleep(60)
                 callers.cancel_scope.cancel()
-        return play
+        return context
 
 
 @pytest.fixture
 def script(play):
-    return Script(play)
+    return ScenarioScript(play)
 
 
 @given(parsers.parse("{centres:d} data centres with {hosts:d} entry hosts each"))
 @given(parsers.parse("{centres:d} data centre with {hosts:d} entry hosts"))
-def build(script, centres, hosts):
+def set_size(script, centres, hosts):
     script.size = SystemSize(data_centres=centres, hosts_each=hosts)
 
 
 @when(parsers.parse("a caller submits a leave settlement of {tasks:d} tasks"))
 @when(parsers.parse("a caller submits a settlement of {tasks:d} tasks of {ms:d} ms"))
 def submit(script, tasks, ms=1_000):
-    def act(play):
-        play.request = leave_job(tasks, ms, deadline_ms=120_000)
-        play.submit(play.system.bystander())
+    def action(context):
+        context.request = leave_job(tasks, ms, deadline_ms=120_000)
+        context.submit(context.system.bystander())
 
-    script.add(act)
+    script.add(action)
 
 
 @when(parsers.parse("a caller submits a rerun of {tasks:d} tasks that may be repeated"))
 def submit_rerun(script, tasks):
-    def act(play):
-        play.request = leave_job(tasks, 1_000, service=RERUN, repeatable=True)
-        play.submit(play.system.bystander())
+    def action(context):
+        context.request = leave_job(tasks, 1_000, service=RERUN, repeatable=True)
+        context.submit(context.system.bystander())
 
-    script.add(act)
+    script.add(action)
 
 
 @when("a caller submits a leave settlement to the leader")
 def submit_at_leader(script):
-    def act(play):
-        play.request = leave_job(30, 1_000, deadline_ms=120_000)
-        play.submit(play.system.leader())
+    def action(context):
+        context.request = leave_job(30, 1_000, deadline_ms=120_000)
+        context.submit(context.system.leader())
 
-    script.add(act)
+    script.add(action)
 
 
 @when(parsers.parse("{seconds:g} s pass"))
 def wait(script, seconds):
-    script.add(lambda play: play.wait(seconds))
+    script.add(lambda context: context.wait(seconds))
 
 
 @when(parsers.parse("the caller resubmits at every other host"))
 def resubmit(script):
-    def act(play):
-        left_out = play.struck or play.executor
-        for host in list(play.system.hosts.values()):
-            if host is not left_out:
-                play.submit(host)
+    def action(context):
+        excluded = context.failed_host or context.executor
+        for host in list(context.system.hosts.values()):
+            if host is not excluded:
+                context.submit(host)
 
-    script.add(act)
+    script.add(action)
 
 
 @when(parsers.parse("the caller resubmits in data centre {centre:d}"))
 def resubmit_elsewhere(script, centre):
-    script.add(lambda play: play.submit(play.system.host(0, centre), centre))
+    script.add(lambda context: context.submit(context.system.host(0, centre), centre))
 
 
 @when("the caller cancels the job at another host")
 def cancel(script):
-    async def act(play):
-        host = play.system.bystander(play.executor)
-        play.told.append(await play.system.cancel(host, play.key))
+    async def action(context):
+        host = context.system.bystander(context.executor)
+        context.answers.append(await context.system.cancel(host, context.key))
 
-    script.add(act)
+    script.add(action)
 
 
-@when(parsers.parse("the {role} is {fate}"))
-def strike(script, role, fate):
-    def act(play):
-        system = play.system
-        host = play.executor if role == "executor" else system.leader()
+@when(parsers.parse("the {role} is {fault}"))
+def inject_fault(script, role, fault):
+    def action(context):
+        system = context.system
+        host = context.executor if role == "executor" else system.leader()
         name = host.config.host
-        play.struck = host
-        match fate:
+        context.failed_host = host
+        match fault:
             case "killed":
                 system.kill(name)
             case "paused":
@@ -134,109 +134,111 @@
             case "cut off from the platform":
                 system.cut_platform({name})
             case "told to leave":
-                play.callers.start_soon(_drain, play, host)
+                context.callers.start_soon(_drain, context, host)
             case _:
-                raise AssertionError(fate)
+                raise AssertionError(fault)
 
-    script.add(act)
+    script.add(action)
 
 
-async def _drain(play, host):
-    play.drained[host.config.host] = await host.drain()
-    play.system.kill(host.config.host)
+async def _drain(context, host):
+    context.jobs_left[host.config.host] = await host.drain()
+    context.system.kill(host.config.host)
 
 
 @when("the one that was struck goes on")
-def resume(script):
-    def act(play):
-        play.system.resume(play.struck.config.host)
-        play.system.cut_platform(set())
-        play.system.network.heal()
+def resume_host(script):
+    def action(context):
+        context.system.resume(context.failed_host.config.host)
+        context.system.cut_platform(set())
+        context.system.network.heal()
 
-    script.add(act)
+    script.add(action)
 
 
 @when("a new process starts on its host")
-def restart(script):
-    script.add(lambda play: void(play.system.start(play.struck.config.host)))
+def start_new_process(script):
+    script.add(
+        lambda context: discard(context.system.start(context.failed_host.config.host))
+    )
 
 
 @when("the leader and every replica are killed")
 def kill_journal(script):
-    def act(play):
-        leader = play.system.leader()
+    def action(context):
+        leader = context.system.leader()
         writer = leader.journal_service.leader.writer
         for replica in writer.replicas:
-            play.system.kill(replica.split(".")[1])
-        play.system.kill(leader.config.host)
+            context.system.kill(replica.split(".")[1])
+        context.system.kill(leader.config.host)
 
-    script.add(act)
+    script.add(action)
 
 
 @when(parsers.parse("every host of data centre {centre:d} is cut off from everything"))
-def cut_centre(script, centre):
-    def act(play):
+def isolate_data_centre(script, centre):
+    def action(context):
         names = {
             name
-            for name, host in play.system.hosts.items()
-            if host.config.data_centre == play.system.data_centres[centre]
+            for name, host in context.system.hosts.items()
+            if host.config.data_centre == context.system.data_centres[centre]
         }
-        play.system.isolate(names)
-        play.system.cut_platform(names)
+        context.system.isolate(names)
+        context.system.cut_platform(names)
 
-    script.add(act)
+    script.add(action)
 
 
 @when("the partition heals")
-def mend(script):
-    def act(play):
-        play.system.network.heal()
-        play.system.cut_platform(set())
+def heal_partition(script):
+    def action(context):
+        context.system.network.heal()
+        context.system.cut_platform(set())
 
-    script.add(act)
+    script.add(action)
 
 
 @when(parsers.parse("the platform goes {state}"))
 def set_platform(script, state):
-    def act(play):
-        play.system.platform.switches.down = state == "down"
+    def action(context):
+        context.system.platform.switches.down = state == "down"
 
-    script.add(act)
+    script.add(action)
 
 
 @when(parsers.parse("the platform loses its next {count:d} replies"))
 def lose_replies(script, count):
-    def act(play):
-        play.system.platform.switches.lose_replies = count
+    def action(context):
+        context.system.platform.switches.lose_replies = count
 
-    script.add(act)
+    script.add(action)
 
 
 @when(parsers.parse("the next {count:d} replies between hosts are lost"))
 def lose_peer_replies(script, count):
-    def act(play):
-        play.system.network.lose_replies = count
+    def action(context):
+        context.system.network.lose_replies = count
 
-    script.add(act)
+    script.add(action)
 
 
-@when(parsers.parse("a minion with a task {fate}"))
-def strike_minion(script, fate):
-    def act(play):
-        minion = next(m for m in play.system.minions.values() if m.starts)
-        match fate:
+@when(parsers.parse("a minion with a task {fault}"))
+def inject_minion_fault(script, fault):
+    def action(context):
+        minion = next(m for m in context.system.minions.values() if m.starts)
+        match fault:
             case "dies":
                 minion.die()
             case "fails everything":
                 minion.mode = MinionMode.FAILING
             case _:
-                raise AssertionError(fate)
+                raise AssertionError(fault)
 
-    script.add(act)
+    script.add(action)
 
 
-@when(parsers.parse("minion {number:d} {fate}"))
-def set_minion(script, number, fate):
+@when(parsers.parse("minion {number:d} {fault}"))
+def set_minion(script, number, fault):
     modes = {
         "falls silent": MinionMode.SILENT,
         "fails everything": MinionMode.FAILING,
@@ -244,83 +246,85 @@
         "is dead": MinionMode.DEAD,
     }
 
-    def act(play):
-        play.system.minions[f"dc-0-minion-{number}"].mode = modes[fate]
+    def action(context):
+        context.system.minions[f"dc-0-minion-{number}"].mode = modes[fault]
 
-    script.add(act)
+    script.add(action)
 
 
 @when(parsers.parse("the platform lists minion {number:d} as leaving"))
 def list_as_leaving(script, number):
-    def act(play):
-        play.system.relist(
+    def action(context):
+        context.system.relist(
             [
                 host.model_copy(update={"state": HostState.LEAVING})
                 if host.name == f"dc-0-minion-{number}"
                 else host
-                for host in play.system.listed
+                for host in context.system.listed
             ]
         )
 
-    script.add(act)
+    script.add(action)
 
 
 @then("the answer is complete")
 def check_complete(script):
-    assert script.play.finals, script.play.told
-    assert script.play.finals[-1].outcome is Outcome.COMPLETE
+    assert script.context.final_answers, script.context.answers
+    assert script.context.final_answers[-1].outcome is Outcome.COMPLETE
 
 
 @then(parsers.parse("the answer is failed because of {reason}"))
 def check_failed(script, reason):
-    assert script.play.finals, script.play.told
-    assert script.play.finals[-1].outcome is Outcome.FAILED
-    assert script.play.finals[-1].reason.value == reason
+    assert script.context.final_answers, script.context.answers
+    assert script.context.final_answers[-1].outcome is Outcome.FAILED
+    assert script.context.final_answers[-1].reason.value == reason
 
 
 @then(parsers.parse("at least {count:d} answers are told"))
-def check_count(script, count):
-    assert len(script.play.finals) >= count
+def check_answer_count(script, count):
+    assert len(script.context.final_answers) >= count
 
 
 @then("every final answer is the same")
 def check_same(script):
-    finals = script.play.finals
-    assert finals
-    assert {answer.verdict for answer in finals} == {finals[0].verdict}
+    final_answers = script.context.final_answers
+    assert final_answers
+    assert {answer.verdict for answer in final_answers} == {final_answers[0].verdict}
 
 
 @then("no final answer is told")
 def check_no_final(script):
-    assert script.play.told
-    assert not script.play.finals
+    assert script.context.answers
+    assert not script.context.final_answers
 
 
 @then(parsers.parse("the caller is told {outcome} because of {reason}"))
-def check_told(script, outcome, reason):
-    told = {(a.outcome.value, a.reason and a.reason.value) for a in script.play.told}
-    assert (outcome, reason) in told
+def check_answer_received(script, outcome, reason):
+    answers = {
+        (a.outcome.value, a.reason and a.reason.value) for a in script.context.answers
+    }
+    assert (outcome, reason) in answers
 
 
 @then("no task starts more than once")
 def check_starts(script):
-    starts = script.play.system.starts_of(script.play.key)
+    starts = script.context.system.starts_of(script.context.key)
     assert starts
     assert set(starts.values()) == {1}
 
 
 @then("no task starts at all")
 def check_no_starts(script):
-    assert script.play.told
-    assert script.play.system.starts_of(script.play.key) == {}
+    assert script.context.answers
+    assert script.context.system.starts_of(script.context.key) == {}
 
 
 @then("each task is told truly")
-def check_truth(script):
-    play = script.play
-    starts = play.system.starts_of(play.key)
-    final = play.finals[-1]
-    assert len(final.tasks) == len(play.request.tasks)
+def check_task_states(script):
+    context = script.context
+    starts = context.system.starts_of(context.key)
+    final = context.final_answers[-1]
+    assert len(final.tasks) == len(context.request.tasks)
     for index, task in enumerate(final.tasks):
         count = next((n for t, n in starts.items() if t.endswith(f"/{index}")), 0)
         assert (task.state.value, count) in {
@@ -333,21 +337,23 @@
 
 @then(parsers.parse("{count:d} tasks were not run"))
 def check_not_run(script, count):
-    states = Counter(task.state.value for task in script.play.finals[-1].tasks)
+    states = Counter(
+        task.state.value for task in script.context.final_answers[-1].tasks
+    )
     assert states["not run"] == count
 
 
 @then(parsers.parse("the host that left had {count:d} jobs left"))
 def check_drained(script, count):
-    script.play  # noqa: B018
-    assert list(script.play.drained.values()) == [count]
+    script.context  # noqa: B018
+    assert list(script.context.jobs_left.values()) == [count]
 
 
 @then(parsers.parse("minion {number:d} is started on at most {count:d} times"))
 def check_minion_starts(script, number, count):
-    minion = script.play.system.minions[f"dc-0-minion-{number}"]
+    minion = script.context.system.minions[f"dc-0-minion-{number}"]
     assert sum(minion.starts.values()) <= count
 
 
-def void(_):
+def discard(_):
     return None
--- a/tests/failures/executor.feature
+++ b/tests/failures/executor.feature
@@ -1,14 +1,14 @@
 Feature: The host that runs a job fails
 
   Scenario Outline: The executor is lost while its tasks run
-    A manager submits a leave settlement; the entry host that runs it is <fate> with
+    A manager submits a leave settlement; the entry host that runs it is <fault> with
     tasks started; the manager, told nothing, submits again with the same key.
     Cause: the executor's memory of what it started is out of reach.
 
     Given 1 data centre with 3 entry hosts
     When a caller submits a leave settlement of 60 tasks
     And 1 s pass
-    And the executor is <fate>
+    And the executor is <fault>
     And the caller resubmits at every other host
     And 30 s pass
     Then the answer is failed because of executor_fenced
@@ -17,7 +17,7 @@
     And each task is told truly
 
     Examples:
-      | fate                   |
+      | fault                  |
       | killed                 |
       | paused                 |
       | cut off from its peers |
--- a/tests/failures/journal.feature
+++ b/tests/failures/journal.feature
@@ -1,14 +1,14 @@
 Feature: The journal's leader or the platform fails
 
   Scenario Outline: The leader is lost while a job runs on another host
-    A manager submits; the leader that bound the key is <fate>; the manager submits
+    A manager submits; the leader that bound the key is <fault>; the manager submits
     again. Another host leads and must know the binding.
     Cause: the leader's memory is out of reach, the platform's is not.
 
     Given 1 data centre with 3 entry hosts
     When a caller submits a settlement of 60 tasks of 4000 ms
     And 1 s pass
-    And the leader is <fate>
+    And the leader is <fault>
     And the caller resubmits at every other host
     And 30 s pass
     Then the answer is complete
@@ -16,7 +16,7 @@
     And no task starts more than once
 
     Examples:
-      | fate                      |
+      | fault                     |
       | killed                    |
       | paused                    |
       | cut off from its peers    |
--- a/tests/failures/minions.feature
+++ b/tests/failures/minions.feature
@@ -1,21 +1,21 @@
 Feature: Minions fail
 
   Scenario Outline: A minion is lost with tasks that may not be repeated on it
-    An auditor's draw runs; a minion with some of its tasks <fate>. The draw is failed
+    An auditor's draw runs; a minion with some of its tasks <fault>. The draw is failed
     at once, and each task is told as done, not run or may have run.
     Cause: a start without a reply may have run.
 
     Given 1 data centre with 3 entry hosts
     When a caller submits a leave settlement of 100 tasks
     And 1.5 s pass
-    And a minion with a task <fate>
+    And a minion with a task <fault>
     And 5 s pass
     Then the answer is failed because of task_doubtful
     And no task starts more than once
     And each task is told truly
 
     Examples:
-      | fate             |
+      | fault            |
       | dies             |
       | fails everything |
 
@@ -44,11 +44,11 @@
     And each task is told truly
 
   Scenario Outline: A minion that takes no work costs nothing but a refusal
-    A minion <fate>; the job completes on the others.
+    A minion <fault>; the job completes on the others.
     Cause: the platform's list lags behind the minion's state.
 
     Given 1 data centre with 3 entry hosts
-    When minion 1 <fate>
+    When minion 1 <fault>
     And a caller submits a leave settlement of 100 tasks
     And 30 s pass
     Then the answer is complete
@@ -56,7 +56,7 @@
     And minion 1 is started on at most 0 times
 
     Examples:
-      | fate               |
+      | fault              |
       | refuses as leaving |
       | is dead            |
 
--- a/tests/failures/scenario_context.py
+++ b/tests/failures/scenario_context.py
@@ -21,21 +21,21 @@
     from brasstray.job.answer import Answer
     from brasstray.job.request import JobRequest
 
-PAUSE = timedelta(seconds=1)
+RETRY_INTERVAL = timedelta(seconds=1)
 
 
 @dataclass
-class Play:
+class ScenarioContext:
     """Let callers submit one job again and again, as worried callers do."""
 
     system: MemorySystem
     callers: anyio.abc.TaskGroup
     key: str
     request: JobRequest = field(default_factory=lambda: leave_job(1))
-    told: list[Answer] = field(default_factory=list)
-    lost: list[str] = field(default_factory=list)
-    struck: EntryHost | None = None
-    drained: dict[str, int] = field(default_factory=dict)
+    answers: list[Answer] = field(default_factory=list)
+    connection_losses: list[str] = field(default_factory=list)
+    failed_host: EntryHost | None = None
+    jobs_left: dict[str, int] = field(default_factory=dict)
 
     async def wait(self, seconds: float) -> None:
         """Let virtual time pass."""
@@ -49,15 +49,15 @@
         while True:
             try:
                 answer = await self.system.submit(host, self.key, self.request)
-                self.told.append(answer)
+                self.answers.append(answer)
                 if answer.outcome.final or answer.outcome.value.startswith("refused"):
                     return
             except CallerCutOffError as error:
-                self.lost.append(str(error))
-            await self.system.clock.sleep(PAUSE)
-            host = self._any_other(host, centre)
+                self.connection_losses.append(str(error))
+            await self.system.clock.sleep(RETRY_INTERVAL)
+            host = self._another_host(host, centre)
 
-    def _any_other(self, host: EntryHost, centre: int) -> EntryHost:
+    def _another_host(self, host: EntryHost, centre: int) -> EntryHost:
         wanted = self.system.data_centres[centre]
         hosts = [
             h for h in self.system.hosts.values() if h.config.data_centre == wanted
@@ -74,9 +74,9 @@
         return None
 
     @property
-    def finals(self) -> list[Answer]:
+    def final_answers(self) -> list[Answer]:
         """Return the final answers that were told."""
-        return [answer for answer in self.told if answer.outcome.final]
+        return [answer for answer in self.answers if answer.outcome.final]
 
 
-__all__ = ["Play"]
+__all__ = ["ScenarioContext"]
