--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 from brasstray.entry.timing import EntryTiming
 from brasstray_standins.memory_system import MemorySystem, SystemSize
 
-Story = Callable[[MemorySystem], Awaitable[Any]]
+Scenario = Callable[[MemorySystem], Awaitable[Any]]
 
 
 # The model checks and the longest streams begin first: begun last, each would keep the
@@ -34,13 +34,13 @@
     for item in items:
         if item.nodeid.startswith(REAL_PROCESSES):
             item.add_marker(pytest.mark.xdist_group("real processes"))
-    items.sort(key=_place)
+    items.sort(key=_priority)
 
 
-def _place(item: pytest.Item) -> int:
-    for place, prefix in enumerate(LONGEST_FIRST):
+def _priority(item: pytest.Item) -> int:
+    for priority, prefix in enumerate(LONGEST_FIRST):
         if item.nodeid.startswith(prefix):
-            return place
+            return priority
     return len(LONGEST_FIRST)
 
 
@@ -49,10 +49,10 @@
 
 
 def run_virtual(
-    story: Callable[[], Awaitable[Any]], schedule: int = SCHEDULE_SEED
+    scenario: Callable[[], Awaitable[Any]], schedule: int = SCHEDULE_SEED
 ) -> Any:
     """Run `story` on a virtual clock that jumps whenever all tasks sleep."""
-    return measure.virtual.run_virtual(schedule, story)
+    return measure.virtual.run_virtual(schedule, scenario)
 
 
 @pytest.fixture
@@ -60,21 +60,21 @@
     """Return a function that runs a story in a settled system and ends the system."""
 
     def run(
-        story: Story,
+        scenario: Scenario,
         size: SystemSize | None = None,
         seed: int = 1,
         timing: EntryTiming | None = None,
     ) -> Any:
-        async def whole() -> Any:
+        async def run_system() -> Any:
             async with anyio.create_task_group() as group:
                 system = MemorySystem(group, size, seed, timing)
                 system.start_all()
                 await system.settle()
-                result = await story(system)
+                result = await scenario(system)
                 system.end()
                 group.cancel_scope.cancel()
             return result
 
-        return run_virtual(whole)
+        return run_virtual(run_system)
 
     return run
