--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -1,4 +1,4 @@
-"""Turn the sentences of failure stories into actions on a virtual clock."""
+"""Define the steps of the failure scenarios, run on a virtual clock."""
 
 from __future__ import annotations
 
@@ -18,7 +18,7 @@
 
 
 class ScenarioScript:
-    """Collect actions, and run them once when the first check asks."""
+    """Collect a scenario's actions and run them for the first check."""
 
     def __init__(self, run):
         self.size = SystemSize()
@@ -129,11 +129,11 @@
                 system.kill(name)
             case "paused":
                 system.pause(name)
-            case "cut off from its peers":
+            case "partitioned from its peers":
                 system.isolate({name})
-            case "cut off from the platform":
+            case "partitioned from the platform":
                 system.cut_platform({name})
-            case "told to leave":
+            case "ordered to shut down":
                 context.callers.start_soon(_drain, context, host)
             case _:
                 raise AssertionError(fault)
@@ -146,7 +146,7 @@
     context.system.kill(host.config.host)
 
 
-@when("the one that was struck goes on")
+@when("the failed host recovers")
 def resume_host(script):
     def action(context):
         context.system.resume(context.failed_host.config.host)
@@ -156,7 +156,7 @@
     script.add(action)
 
 
-@when("a new process starts on its host")
+@when("a new process starts on the failed host")
 def start_new_process(script):
     script.add(
         lambda context: discard(context.system.start(context.failed_host.config.host))
@@ -175,7 +175,7 @@
     script.add(action)
 
 
-@when(parsers.parse("every host of data centre {centre:d} is cut off from everything"))
+@when(parsers.parse("every host of data centre {centre:d} is isolated"))
 def isolate_data_centre(script, centre):
     def action(context):
         names = {
@@ -229,7 +229,7 @@
         match fault:
             case "dies":
                 minion.die()
-            case "fails everything":
+            case "fails every task":
                 minion.mode = MinionMode.FAILING
             case _:
                 raise AssertionError(fault)
@@ -240,9 +240,9 @@
 @when(parsers.parse("minion {number:d} {fault}"))
 def set_minion(script, number, fault):
     modes = {
-        "falls silent": MinionMode.SILENT,
-        "fails everything": MinionMode.FAILING,
-        "refuses as leaving": MinionMode.LEAVING,
+        "stops responding": MinionMode.SILENT,
+        "fails every task": MinionMode.FAILING,
+        "refuses work because it is leaving": MinionMode.LEAVING,
         "is dead": MinionMode.DEAD,
     }
 
@@ -280,7 +280,7 @@
     assert script.context.final_answers[-1].reason.value == reason
 
 
-@then(parsers.parse("at least {count:d} answers are told"))
+@then(parsers.parse("at least {count:d} final answers are reported"))
 def check_answer_count(script, count):
     assert len(script.context.final_answers) >= count
 
@@ -292,13 +292,13 @@
     assert {answer.verdict for answer in final_answers} == {final_answers[0].verdict}
 
 
-@then("no final answer is told")
+@then("no final answer is reported")
 def check_no_final(script):
     assert script.context.answers
     assert not script.context.final_answers
 
 
-@then(parsers.parse("the caller is told {outcome} because of {reason}"))
+@then(parsers.parse("the caller receives {outcome} because of {reason}"))
 def check_answer_received(script, outcome, reason):
     answers = {
         (a.outcome.value, a.reason and a.reason.value) for a in script.context.answers
@@ -319,7 +319,7 @@
     assert script.context.system.starts_of(script.context.key) == {}
 
 
-@then("each task is told truly")
+@then("each task is reported correctly")
 def check_task_states(script):
     context = script.context
     starts = context.system.starts_of(context.key)
@@ -343,13 +343,13 @@
     assert states["not run"] == count
 
 
-@then(parsers.parse("the host that left had {count:d} jobs left"))
+@then(parsers.parse("the host that shut down had {count:d} jobs left"))
 def check_drained(script, count):
     script.context  # noqa: B018
     assert list(script.context.jobs_left.values()) == [count]
 
 
-@then(parsers.parse("minion {number:d} is started on at most {count:d} times"))
+@then(parsers.parse("minion {number:d} receives at most {count:d} starts"))
 def check_minion_starts(script, number, count):
     minion = script.context.system.minions[f"dc-0-minion-{number}"]
     assert sum(minion.starts.values()) <= count
--- a/tests/failures/executor.feature
+++ b/tests/failures/executor.feature
@@ -1,9 +1,9 @@
 Feature: The host that runs a job fails
 
   Scenario Outline: The executor is lost while its tasks run
-    A manager submits a leave settlement; the entry host that runs it is <fault> with
-    tasks started; the manager, told nothing, submits again with the same key.
-    Cause: the executor's memory of what it started is out of reach.
+    The entry host that runs a job is <fault> with tasks started. The caller gets no
+    answer and submits again with the same key.
+    Cause: the executor's record of started tasks is unreachable.
 
     Given 1 data centre with 3 entry hosts
     When a caller submits a leave settlement of 60 tasks
@@ -14,18 +14,18 @@
     Then the answer is failed because of executor_fenced
     And every final answer is the same
     And no task starts more than once
-    And each task is told truly
+    And each task is reported correctly
 
     Examples:
-      | fault                  |
-      | killed                 |
-      | paused                 |
-      | cut off from its peers |
+      | fault                      |
+      | killed                     |
+      | paused                     |
+      | partitioned from its peers |
 
-  Scenario: A host that was taken for dead wakes up and finishes the job
-    A manager submits, the executor freezes for half a minute, and another host tells
-    the manager "failed". Then the executor wakes, runs the rest and has an answer.
-    Cause: a pause past every timeout; the executor cannot know that it was fenced.
+  Scenario: A fenced executor resumes and finishes the job
+    The executor is paused for 30 s, and another host reports the job as failed. Then
+    the executor resumes, runs the remaining tasks and produces an answer.
+    Cause: a pause longer than every timeout; the executor cannot know it was fenced.
 
     Given 1 data centre with 3 entry hosts
     When a caller submits a leave settlement of 60 tasks
@@ -33,46 +33,46 @@
     And the executor is paused
     And the caller resubmits at every other host
     And 30 s pass
-    And the one that was struck goes on
+    And the failed host recovers
     And 30 s pass
-    Then at least 3 answers are told
+    Then at least 3 final answers are reported
     And every final answer is the same
     And no task starts more than once
 
-  Scenario: A host freezes for less than it takes to be fenced
-    A manager submits and the executor freezes for three seconds. The manager's second
-    try waits. Cause: a short pause, which must not cost the job.
+  Scenario: A host is paused for less than the fencing timeout
+    The executor is paused for 3 s while the caller's second submission waits.
+    Cause: a short pause, which must not fail the job.
 
     Given 1 data centre with 3 entry hosts
     When a caller submits a leave settlement of 60 tasks
     And 1 s pass
     And the executor is paused
     And 3 s pass
-    And the one that was struck goes on
+    And the failed host recovers
     And the caller resubmits at every other host
     Then the answer is complete
     And every final answer is the same
     And no task starts more than once
 
-  Scenario: A new process takes the place of the executor's
-    A manager submits; the executor's process is replaced on the same host. The new one
-    knows nothing of the job and must not start it again.
-    Cause: hosts have no disks, so a restart forgets what was started.
+  Scenario: The executor's process is replaced
+    The executor's process is replaced on the same host. The new process has no record
+    of the job and must not start it again.
+    Cause: hosts have no disks, so a restart loses the record of started tasks.
 
     Given 1 data centre with 3 entry hosts
     When a caller submits a leave settlement of 60 tasks
     And 1 s pass
     And the executor is killed
-    And a new process starts on its host
+    And a new process starts on the failed host
     And the caller resubmits at every other host
     And 30 s pass
     Then the answer is failed because of executor_fenced
     And every final answer is the same
     And no task starts more than once
 
-  Scenario: The answer was committed before its host died
-    A manager's job is done and answered; then its host dies. The manager asks again:
-    the results are gone, but "failed, nothing known" would be untrue.
+  Scenario: The executor dies after its answer was committed
+    A job is answered, then its executor dies and the caller asks again. The results are
+    lost, but reporting the job as failed with unknown tasks would be wrong.
     Cause: the journal keeps the outcome and digest of an answer, not its results.
 
     Given 1 data centre with 3 entry hosts
@@ -86,9 +86,9 @@
     And no task starts more than once
 
   Scenario: A reply between two entry hosts is lost
-    A manager's request reaches a host that passes it on; the reply gets lost. The
-    manager is told "not yet known" and never "not run", and hears the answer later.
-    Cause: the host that passed the job on cannot know whether it runs.
+    A host forwards a request and the reply is lost. The caller receives "not yet
+    known", never "not run", and gets the answer later.
+    Cause: the forwarding host cannot know whether the job runs.
 
     Given 2 data centres with 3 entry hosts each
     When the caller resubmits in data centre 1
@@ -97,10 +97,9 @@
     Then the answer is complete
     And no task starts more than once
 
-  Scenario: A wave of doubt ends with a cancellation
-    An auditor changes a threshold and cancels the old job at another host than the one
-    that runs it. Starts stop at once; what became of each task is told.
-    Cause: none; a cancellation must be true.
+  Scenario: A job is cancelled at a host that does not run it
+    Task starts stop at once, and the answer reports the state of each task.
+    Cause: no failure; a cancellation must report each task correctly.
 
     Given 1 data centre with 3 entry hosts
     When a caller submits a leave settlement of 100 tasks
@@ -110,4 +109,4 @@
     And 36 tasks were not run
     And every final answer is the same
     And no task starts more than once
-    And each task is told truly
+    And each task is reported correctly
--- a/tests/failures/journal.feature
+++ b/tests/failures/journal.feature
@@ -1,9 +1,9 @@
 Feature: The journal's leader or the platform fails
 
   Scenario Outline: The leader is lost while a job runs on another host
-    A manager submits; the leader that bound the key is <fault>; the manager submits
-    again. Another host leads and must know the binding.
-    Cause: the leader's memory is out of reach, the platform's is not.
+    The leader that bound the key is <fault>, and the caller submits again. Another host
+    becomes leader and must know the binding.
+    Cause: the leader's memory is unreachable, the platform's is not.
 
     Given 1 data centre with 3 entry hosts
     When a caller submits a settlement of 60 tasks of 4000 ms
@@ -16,23 +16,23 @@
     And no task starts more than once
 
     Examples:
-      | fault                     |
-      | killed                    |
-      | paused                    |
-      | cut off from its peers    |
-      | cut off from the platform |
+      | fault                         |
+      | killed                        |
+      | paused                        |
+      | partitioned from its peers    |
+      | partitioned from the platform |
 
-  Scenario: A deposed leader wakes up and is asked
-    The leader freezes, another takes over, the old one wakes and still answers hosts
-    that ask it. Cause: a paused leader cannot know that its term has ended; the
-    platform refuses its next write.
+  Scenario: A deposed leader resumes and receives requests
+    The leader is paused and another takes over. The old leader resumes and still
+    answers hosts that send it requests. Cause: a paused leader cannot know that its
+    term has ended; the platform refuses its next write.
 
     Given 1 data centre with 3 entry hosts
     When the leader is paused
     And 10 s pass
     And a caller submits a leave settlement of 40 tasks
     And 1 s pass
-    And the one that was struck goes on
+    And the failed host recovers
     And the caller resubmits at every other host
     And 30 s pass
     Then the answer is complete
@@ -40,8 +40,8 @@
     And no task starts more than once
 
   Scenario: The platform is down for an hour
-    Managers go on submitting for an hour without the platform; jobs are served from
-    the leader's memory and its replicas. Then it returns.
+    Callers submit for an hour without the platform. Jobs are served from the memory of
+    the leader and its replicas. Then the platform recovers.
     Cause: an outage of the platform's store.
 
     Given 1 data centre with 3 entry hosts
@@ -54,14 +54,14 @@
     And the platform goes up
     And 30 s pass
     Then the answer is complete
-    And at least 3 answers are told
+    And at least 3 final answers are reported
     And every final answer is the same
     And no task starts more than once
 
-  Scenario: The leader dies in the middle of an outage
-    A job was accepted and answered while the platform was down; then the leader dies.
-    Nobody can lead until the platform returns: new leaders then read the replicas.
-    Cause: an outage with the loss of a host in it.
+  Scenario: The leader dies during a platform outage
+    A job is accepted and answered while the platform is down, then the leader dies. No
+    host can lead until the platform recovers; the new leader then reads the replicas.
+    Cause: a host is lost during an outage.
 
     Given 1 data centre with 4 entry hosts
     When the platform goes down
@@ -77,10 +77,10 @@
     And every final answer is the same
     And no task starts more than once
 
-  Scenario: The leader and all its replicas die in the middle of an outage
-    A job was answered while the platform was down; then every host that knew of its
-    binding dies. What the caller was told must not be contradicted: a new submission
-    of the key is told "not yet known" until the key expires, and starts nothing.
+  Scenario: The leader and all its replicas die during a platform outage
+    A job is answered while the platform is down, then every host with its binding dies.
+    The answer must not be contradicted: a new submission of the key receives "not yet
+    known" until the key expires, and starts nothing.
     Cause: all copies are lost at once.
 
     Given 1 data centre with 5 entry hosts
@@ -93,13 +93,13 @@
     And 60 s pass
     And the caller resubmits at every other host
     And 30 s pass
-    Then the caller is told not yet known because of journal_in_doubt
+    Then the caller receives not yet known because of journal_in_doubt
     And every final answer is the same
     And no task starts more than once
 
   Scenario Outline: Replies of the platform are lost after the write took effect
-    A manager submits while the platform loses <count> replies. The write stands, but
-    its writer hears nothing. Cause: a lost reply; reading the segment back settles it.
+    The platform loses <count> replies while a caller submits. The write takes effect,
+    but the writer gets no reply. Cause: a lost reply; the writer reads the segment back.
 
     Given 1 data centre with 3 entry hosts
     When the platform loses its next <count> replies
@@ -116,37 +116,37 @@
       | 2     |
       | 5     |
 
-  Scenario: A data centre is cut off from the others and from the platform
-    Managers of the data centre go on submitting keys that are at home there. Those who
-    try elsewhere are told "not yet known", and hear the same answer once it heals.
+  Scenario: A data centre is partitioned from the others and from the platform
+    Callers in the data centre submit keys whose home it is. Submissions of these keys
+    elsewhere receive "not yet known", and the same answer once the partition heals.
     Cause: a partition around a data centre.
 
     Given 2 data centres with 3 entry hosts each
-    When every host of data centre 0 is cut off from everything
+    When every host of data centre 0 is isolated
     And 5 s pass
     And a caller submits a leave settlement of 40 tasks
     And the caller resubmits in data centre 1
     And 30 s pass
     And the partition heals
     And 10 s pass
-    Then the caller is told not yet known because of home_unreachable
-    And at least 2 answers are told
+    Then the caller receives not yet known because of home_unreachable
+    And at least 2 final answers are reported
     And every final answer is the same
     And no task starts more than once
 
-  Scenario: Two hosts believe in different leaders
-    The leader is cut off from its peers but not from the platform, and callers reach
-    it. Its peers choose another. Each is asked for the same key.
+  Scenario: Hosts disagree about the leader
+    The leader is partitioned from its peers but not from the platform or from callers.
+    Its peers elect another leader, and both receive the same key.
     Cause: a partition inside a data centre; the journal's next segment has one writer.
 
     Given 1 data centre with 4 entry hosts
-    When the leader is cut off from its peers
+    When the leader is partitioned from its peers
     And 1 s pass
     And a caller submits a leave settlement to the leader
     And 10 s pass
     And the caller resubmits at every other host
     And 20 s pass
-    And the one that was struck goes on
+    And the failed host recovers
     And 30 s pass
     Then every final answer is the same
     And no task starts more than once
--- a/tests/failures/scenario_context.py
+++ b/tests/failures/scenario_context.py
@@ -1,4 +1,4 @@
-"""Hold what a failure story does and what its caller hears."""
+"""Hold the state of a failure scenario and its callers' answers."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
 
 @dataclass
 class ScenarioContext:
-    """Let callers submit one job again and again, as worried callers do."""
+    """Submit one job repeatedly and record the answers."""
 
     system: MemorySystem
     callers: anyio.abc.TaskGroup
@@ -38,11 +38,11 @@
     jobs_left: dict[str, int] = field(default_factory=dict)
 
     async def wait(self, seconds: float) -> None:
-        """Let virtual time pass."""
+        """Advance virtual time."""
         await anyio.sleep(seconds)
 
     def submit(self, host: EntryHost, centre: int = 0) -> None:
-        """Have a caller submit at `host` and ask again until the answer is final."""
+        """Submit at `host`, and retry until the answer is final or a refusal."""
         self.callers.start_soon(self._submit, host, centre)
 
     async def _submit(self, host: EntryHost, centre: int) -> None:
@@ -66,7 +66,7 @@
 
     @property
     def executor(self) -> EntryHost | None:
-        """Return the host that runs the job, if it lives."""
+        """Return the host that runs the job, or None if that host is gone."""
         job = JobId(caller=CALLER, key=self.key)
         for host in self.system.hosts.values():
             if host.executions.get(job) is not None:
@@ -75,7 +75,7 @@
 
     @property
     def final_answers(self) -> list[Answer]:
-        """Return the final answers that were told."""
+        """Return the final answers that callers received."""
         return [answer for answer in self.answers if answer.outcome.final]
 
 
