--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,4 +1,4 @@
-"""Run every test's asynchronous part on a virtual clock."""
+"""Provide the virtual clock and the in-memory system for the tests."""
 
 from __future__ import annotations
 
@@ -16,8 +16,8 @@
 Scenario = Callable[[MemorySystem], Awaitable[Any]]
 
 
-# The model checks and the longest streams begin first: begun last, each would keep the
-# run waiting for one process.
+# The longest tests, model checks and random streams, run first: started last, each
+# would extend a parallel run while the other workers are idle.
 LONGEST_FIRST = (
     "tests/spec/test_pool_protocol.py",
     "tests/host/test_random_streams.py",
@@ -25,12 +25,13 @@
     "tests/failures/",
     "tests/entry/",
 )
-# Real processes with time limits share one worker, so that they do not compete.
+# Tests with real processes and time limits share one worker, so that they do not
+# compete for the CPU.
 REAL_PROCESSES = ("tests/daemon/", "tests/platform/test_whole_path.py")
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
-    """Spread the tests over the workers of a parallel run."""
+    """Order and group the tests for a parallel run."""
     for item in items:
         if item.nodeid.startswith(REAL_PROCESSES):
             item.add_marker(pytest.mark.xdist_group("real processes"))
@@ -44,20 +45,20 @@
     return len(LONGEST_FIRST)
 
 
-# Chooses another order of events in every story; the tests must hold under any.
+# Seeds the order of concurrent events in every scenario; tests must pass with any seed.
 SCHEDULE_SEED = int(os.environ.get("SCHEDULE_SEED", "1"))
 
 
 def run_virtual(
     scenario: Callable[[], Awaitable[Any]], schedule: int = SCHEDULE_SEED
 ) -> Any:
-    """Run `story` on a virtual clock that jumps whenever all tasks sleep."""
+    """Run `scenario` on a virtual clock that jumps whenever all tasks sleep."""
     return measure.virtual.run_virtual(schedule, scenario)
 
 
 @pytest.fixture
 def play() -> Callable[..., Any]:
-    """Return a function that runs a story in a settled system and ends the system."""
+    """Return a function that runs a scenario in a new system with elected leaders."""
 
     def run(
         scenario: Scenario,
