--- a/spec/__init__.py
+++ b/spec/__init__.py
@@ -1,1 +1,1 @@
-"""Specify the job protocol and check it exhaustively."""
+"""Specify the job and pool protocols as models for an exhaustive checker."""
--- a/spec/__main__.py
+++ b/spec/__main__.py
@@ -1,4 +1,4 @@
-"""Check the specification and print what was explored."""
+"""Check every variant of the job protocol and print the result."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 def main() -> int:
-    """Check every variant; return 0 if only the broken ones are refuted."""
+    """Return 0 if the design holds and every broken variant is refuted."""
     status = 0
     for variant in Variant:
         result = check_safety(model(variant), max_states=MAX_STATES)
--- a/spec/fail_fast.py
+++ b/spec/fail_fast.py
@@ -1,4 +1,4 @@
-"""Build models whose search ends at the first violation."""
+"""Build models whose search stops at the first invariant violation."""
 
 from __future__ import annotations
 
@@ -17,10 +17,10 @@
     steps: Callable[[Any], Iterable[tuple]],
     invariants: dict[str, Callable[[dict], bool]],
 ) -> Protocol:
-    """Return a protocol over states of the named tuple `kind`, for the checker.
+    """Return a model whose states are named tuples of type `kind`.
 
-    A search that has met a violation goes no further, so that broken variants end
-    early; one that meets none is exhaustive.
+    After the first violation no state has successors, so that broken variants finish
+    early. A search without a violation is exhaustive.
     """
     violated = False
 
--- a/spec/job_protocol.py
+++ b/spec/job_protocol.py
@@ -1,9 +1,9 @@
-"""Specify who may start a job's tasks and who may tell its answer.
+"""Specify who may start a job's tasks and who may report its answer.
 
-Read `steps` from the top: each function yields the steps of one kind that the state
-allows. A crash, a pause, a cut and a lost message are a step that never comes; a lost
-reply is a step whose effect its sender does not see. There are no clocks: whatever a
-timeout would bring about may happen at any time.
+Each function called by `steps` yields the enabled transitions of one kind. Pauses,
+partitions, lost messages and crashes of hosts other than A are modelled as transitions
+that are never taken. A lost reply is a transition whose effect the sender does not see.
+There are no clocks: the effect of a timeout may occur at any time.
 """
 
 from __future__ import annotations
@@ -26,7 +26,7 @@
 
 
 def steps(s: State, variant: Variant) -> Iterator[Step]:
-    """Yield every step that can come next."""
+    """Yield every transition enabled in `s`."""
     yield from crashes_and_outages(s)
     for host in HOSTS:
         yield from submit(s, host)
@@ -42,10 +42,10 @@
 
 
 def crashes_and_outages(s: State) -> Iterator[Step]:
-    """A crashes; the platform goes away once and comes back.
+    """Host A crashes; the platform has one outage and recovers.
 
-    A replica that crashes is one that never replies again: its copies are only
-    reached through its replies.
+    A crashed replica is modelled as one that never replies again, since its copies can
+    only be read through its replies.
     """
     if s.leader_a.mode != "dead":
         yield (
@@ -59,7 +59,7 @@
 
 
 def submit(s: State, host: str) -> Iterator[Step]:
-    """A host that was sent the job asks a leader who may run it."""
+    """A host that received the job asks a leader to bind it."""
     executor = _executor(s, host)
     if not executor.alive or executor.bound:
         return
@@ -72,22 +72,22 @@
             yield f"{name} queues bind:{host}", _enqueue(s, name, f"bind:{host}")
         elif bound_host == host and _committed(leader, f"bind:{host}"):
             bound = executor._replace(bound=True)
-            yield f"{host} may run the job", _with_executor(s, host, bound)
+            yield f"{host} is bound to the job", _with_executor(s, host, bound)
 
 
 def start_tasks(s: State, host: str) -> Iterator[Step]:
-    """The executor starts each task once, as its memory tells."""
+    """The executor starts each task that it has not recorded as started."""
     executor = _executor(s, host)
     if not (executor.alive and executor.bound):
         return
-    # Tasks are alike, so one order of starts stands for both.
+    # Tasks are interchangeable, so one start order covers both.
     task = len(executor.started)
     if task in TASKS:
         yield f"{host} starts task {task}", _start_task(s, host, task)
 
 
 def restart_fenced_tasks(s: State, host: str) -> Iterator[Step]:
-    """Broken: a host starts the tasks of a job whose executor is fenced."""
+    """Broken variant: a host restarts a task of a job whose executor is fenced."""
     executor = _executor(s, host)
     for name in HOSTS:
         leader = _leader(s, name)
@@ -99,12 +99,12 @@
 
 
 def report_complete(s: State, host: str, variant: Variant) -> Iterator[Step]:
-    """The executor has the answer committed, and only then tells it."""
+    """The executor reports the answer only after it is committed."""
     executor = _executor(s, host)
     if not executor.alive or executor.started != frozenset(TASKS):
         return
     if variant is Variant.REPORTED_BEFORE_COMMIT:
-        yield f"{host} tells complete", s._replace(reported=s.reported | {"complete"})
+        yield f"{host} reports complete", s._replace(reported=s.reported | {"complete"})
     for name in HOSTS:
         leader = _leader(s, name)
         if leader.mode != "leads":
@@ -113,7 +113,7 @@
         if answer in leader.view:
             if _committed(leader, answer):
                 yield (
-                    f"{host} tells complete",
+                    f"{host} reports complete",
                     s._replace(reported=s.reported | {"complete"}),
                 )
         elif f"fence:{host}" not in leader.view:
@@ -121,7 +121,7 @@
 
 
 def fence(s: State, host: str) -> Iterator[Step]:
-    """A leader that suspects an executor fences it, rightly or wrongly."""
+    """A leader fences the executor, which may be alive or dead."""
     leader = _leader(s, host)
     bound_host = _bound_host(leader)
     if leader.mode != "leads" or leader.offline or bound_host is None:
@@ -131,7 +131,7 @@
 
 
 def report_failed(s: State, host: str, variant: Variant) -> Iterator[Step]:
-    """Any host tells of a fenced executor, if no answer was committed before."""
+    """A leader reports failure for a fenced executor without a committed answer."""
     leader = _leader(s, host)
     bound_host = _bound_host(leader)
     if leader.mode != "leads" or bound_host is None or leader.in_doubt:
@@ -141,11 +141,11 @@
         fence_record not in leader.queue or variant is Variant.FENCE_REPORTED_EARLY
     )
     if fence_record in leader.view and flushed and answer not in leader.view:
-        yield f"{host} tells failed", s._replace(reported=s.reported | {"failed"})
+        yield f"{host} reports failed", s._replace(reported=s.reported | {"failed"})
 
 
 def flush(s: State, host: str, variant: Variant) -> Iterator[Step]:
-    """A leader appends its queue by compare-and-swap on the next segment's number."""
+    """A leader appends its queue with compare-and-swap on the next segment number."""
     leader = _leader(s, host)
     if leader.mode != "leads" or not leader.queue:
         return
@@ -183,9 +183,9 @@
 
 
 def replicate(s: State, variant: Variant) -> Iterator[Step]:
-    """Offline, the first term's leader copies its queue to each replica.
+    """While offline, the first term's leader copies its queue to each replica.
 
-    The queue counts as committed where one replica has it, once all have the notice.
+    Once every replica was notified, a record is committed when one replica has it.
     """
     if s.leader_a.mode != "leads" or not s.leader_a.offline:
         return
@@ -212,12 +212,12 @@
         acknowledged = s.leader_a._replace(
             notified_replicas=notified_replicas, replicated=replicated
         )
-        yield f"R{i} keeps a copy", copy_stored._replace(leader_a=acknowledged)
-        yield f"R{i} keeps a copy, reply lost", copy_stored
+        yield f"R{i} stores a copy", copy_stored._replace(leader_a=acknowledged)
+        yield f"R{i} stores a copy, reply lost", copy_stored
 
 
 def take_over(s: State, variant: Variant) -> Iterator[Step]:
-    """B seals the journal, fences the replicas, and then leads."""
+    """Host B seals the journal, fences the replicas and becomes leader."""
     if s.leader_b.mode == "standby" and s.platform != "down":
         view = frozenset().union(*(records for _, records in s.journal))
         sealed = Leader("sealed", view=view, next_segment=len(s.journal) + 1)
@@ -247,8 +247,8 @@
 def _begin_term(s: State, fence_replies: list, in_doubt: bool) -> State:
     copies = frozenset().union(*(records or frozenset() for records in fence_replies))
     view = s.leader_b.view | copies
-    # Recovered copies are appended in the step that begins to lead: until the append
-    # is known to be done, B serves nothing.
+    # The recovered copies are appended in the same transition: B serves no request
+    # before the append is confirmed.
     if s.platform == "down":
         return s
     journal = (*s.journal, (2, copies))
@@ -324,22 +324,22 @@
 
 
 def no_second_start(s: dict) -> bool:
-    """No task of the job starts twice."""
+    """No task starts more than once."""
     return all(count <= 1 for count in s["starts"])
 
 
 def no_two_answers(s: dict) -> bool:
-    """The caller is never told two different answers."""
+    """The caller never receives two different answers."""
     return not {"complete", "failed"} <= s["reported"]
 
 
 def no_partial_answer(s: dict) -> bool:
-    """A job told as complete has had each task started."""
+    """A job is reported complete only if every task was started."""
     return "complete" not in s["reported"] or all(s["starts"])
 
 
 def record_matches(s: dict) -> bool:
-    """What was told of a fenced executor is what the journal has."""
+    """A failure is reported only if the journal holds a fence."""
     records = frozenset().union(*(records for _, records in s["journal"]))
     return "failed" not in s["reported"] or bool(records & {"fence:a", "fence:b"})
 
@@ -351,7 +351,7 @@
 
 
 def model(variant: Variant = Variant.AS_DESIGNED) -> Protocol:
-    """Return the protocol, as designed or broken, for the checker."""
+    """Return the model of `variant` for the checker."""
     return fail_fast_model(
         variant.value, State, initial(), lambda s: steps(s, variant), INVARIANTS
     )
--- a/spec/pool_protocol.py
+++ b/spec/pool_protocol.py
@@ -1,12 +1,13 @@
-"""Specify who may run a task on which minion, and when it may run elsewhere.
-
-One task, two minions, and two owners of the pool: the first has token 1, the second may
-take over with token 2 at any moment, whether the first is dead, frozen or well. Starts
-travel as messages that arrive at any later moment, or never. Silence is a step that
-never comes. A lease is on or off; an order carries a lease of its own that is on until
-`the lease lapses` has been taken for its minion. One extension of leases may be held
-up, and be carried out after its minion has answered later calls. A look shows what runs
-and extends nothing; a run that is being stopped is shown by none.
+"""Specify which owner may run a task on which minion, and when it may run elsewhere.
+
+The model has one task, two minions and two owners of the pool. The first owner has
+token 1; the second may take over with token 2 at any time, whether the first is dead,
+paused or healthy. Start messages arrive at any later time, or never. Silence is
+modelled as a transition that is never taken. A lease is valid or not; a start message
+carries its own lease, which is valid until the transition `the lease ... lapses` is
+taken for its minion. One lease extension may be delayed and take effect after the
+minion has answered later calls. A status query returns the active runs and extends no
+lease; a run that is being stopped appears in no status reply.
 """
 
 from __future__ import annotations
@@ -23,42 +24,37 @@
 
 Step = tuple[str, "State"]
 MINIONS = (0, 1)
-# Enough for a task to be sent, lost, sent elsewhere, and found by the second owner.
+# Enough for a start to be sent, lost, sent elsewhere and found by the second owner.
 MAX_RUNS = 2
 
 
 class PoolVariant(Enum):
-    """Choose which rule, if any, the modelled protocol leaves out."""
+    """Select the rule, if any, that the model omits."""
 
     AS_DESIGNED = "as designed"
     START_BEFORE_FENCING = "a new owner starts tasks before it has fenced every minion"
     NO_REPLY_IS_REFUSAL = (
         "a task whose start was not answered is started elsewhere at once"
     )
-    SILENT_IS_DEAD = "a silent minion's tasks are started elsewhere before they lapse"
+    SILENT_IS_DEAD = "tasks of a silent minion are restarted before the lease expires"
     LEASE_BEFORE_STOP = (
-        "a minion back in reach is held before late starts are stopped there"
+        "a lease is renewed on a reconnected minion before late starts are stopped"
     )
-    OWNERSHIP_UNCONFIRMED = (
-        "tasks that expired are started again by an owner that was replaced"
-    )
-    DELAYED_EXTENSION_IGNORED = (
-        "tasks that expired are started again though an extension is held up"
-    )
-    FOREIGN_LEASE_IGNORED = "a lease that an earlier owner gave is taken for over"
-    PENDING_STOP_IGNORED = (
-        "a run that is being stopped is taken for ended by a new owner"
-    )
-    SENT_START_FORGOTTEN = "a job is said not to have run although a start was sent"
+    OWNERSHIP_UNCONFIRMED = "a replaced owner restarts tasks after lease expiry"
+    DELAYED_EXTENSION_IGNORED = "tasks are restarted while a lease extension is delayed"
+    FOREIGN_LEASE_IGNORED = "a lease granted by an earlier owner is treated as expired"
+    PENDING_STOP_IGNORED = "a new owner treats a run that is being stopped as ended"
+    SENT_START_FORGOTTEN = "a job is reported as not run although a start was sent"
 
 
 class Minion(NamedTuple):
-    """A minion: the highest token seen, its lease, the run at work, runs barred.
+    """A minion; `token` is the highest token seen and `running` the active run, or 0.
 
-    `extended` says that an extension came late, so that the lease outlives what owners
-    reckon from earlier ones; a hold after it is reckoned from, and covers it, and so
-    does the first answer to a new owner. `leased_by` is the token of who gave the lease
-    last, `stopping` the run that is being stopped.
+    Runs up to `highest_barred_run` may not start. `late_extension` means that a delayed
+    extension made the lease outlast the expiry that owners compute from earlier calls;
+    a later renewal covers it, and so does the first reply to a new owner. `leased_by`
+    is the token of the owner that last granted the lease, `stopping` the run that is
+    being stopped, or 0.
     """
 
     token: int = 1
@@ -71,7 +67,7 @@
 
 
 class StartMessage(NamedTuple):
-    """A start under way; `fresh` while the lease that it carries has not passed."""
+    """A start in transit; `lease_valid` until the lease that it carries expires."""
 
     minion: int
     token: int
@@ -80,17 +76,19 @@
 
 
 class Extension(NamedTuple):
-    """An extension of leases that is held up on its way to a minion."""
+    """A lease extension that is delayed on its way to a minion."""
 
     minion: int
     token: int
 
 
 class Owner(NamedTuple):
-    """An owner's book: where the task is, and what it must settle first.
+    """An owner's view of the task and the minions.
 
-    `phase` is "away" (not yet owning), "settling", "found", "waiting", "sent",
-    "active", "stopping", "silent" or "given up".
+    `unanswered_starts` are the (minion, run) pairs whose outcome is unknown, and
+    `delayed_extension` the minion whose lease extension had no reply. `phase` is "away"
+    (not yet owning), "settling", "found", "waiting", "sent", "active", "stopping",
+    "silent" or "given up".
     """
 
     phase: str
@@ -103,7 +101,7 @@
 
 
 class State(NamedTuple):
-    """The whole system."""
+    """The whole system; `sent` once any start was sent, `refused` once the job was."""
 
     minions: tuple[Minion, Minion]
     start_messages: frozenset[StartMessage]
@@ -127,7 +125,7 @@
 
 
 def steps(s: State, variant: PoolVariant) -> Iterator[Step]:
-    """Yield every step that can come next."""
+    """Yield every transition enabled in `s`."""
     yield from deliver(s)
     for name, token in (("first", 1), ("second", 2)):
         owner: Owner = getattr(s, name)
@@ -144,7 +142,7 @@
 
 
 def deliver(s: State) -> Iterator[Step]:
-    """A start arrives, now or late; the minion obeys the highest token only."""
+    """Deliver messages; a minion obeys only the highest token that it has seen."""
     for message in s.start_messages:
         minion = s.minions[message.minion]
         left = s._replace(start_messages=s.start_messages - {message})
@@ -171,7 +169,7 @@
         if token >= s.minions[number].token:
             extended = s.minions[number]._replace(late_extension=True, lease=True)
             arrived = _with_minion(arrived, number, extended)
-        yield f"an extension comes late to {number}", arrived
+        yield f"a delayed extension reaches {number}", arrived
     for number, minion in enumerate(s.minions):
         if minion.running:
             ended = minion._replace(running=0)
@@ -187,7 +185,7 @@
 def send_start(
     s: State, name: str, token: int, owner: Owner, variant: PoolVariant
 ) -> Iterator[Step]:
-    """An owner that knows the task to be nowhere starts it on a minion in reach."""
+    """An owner certain that the task runs nowhere starts it on a reachable minion."""
     if owner.phase != "waiting" or s.refused or owner.run >= MAX_RUNS:
         return
     if (
@@ -206,7 +204,7 @@
 
 
 def observe_run(s: State, name: str, token: int, owner: Owner) -> Iterator[Step]:
-    """A look tells the owner that its run is at work, or an end that it is over."""
+    """The owner sees its run in a status reply, or is notified of its end."""
     if owner.phase not in ("sent", "active") or owner.minion in owner.unreachable:
         return
     minion = s.minions[owner.minion]
@@ -220,9 +218,9 @@
             )
     elif owner.phase == "active":
         done = owner._replace(phase="waiting")
-        yield f"{name} hears of the end", s._replace(**{name: done})
+        yield f"{name} is notified of the end", s._replace(**{name: done})
     if owner.phase == "active" and minion.running == owner.run:
-        # It is so slow that the task is better run elsewhere.
+        # A straggler: the owner stops it to run the task elsewhere.
         stopped = owner._replace(phase="stopping")
         state = _with_minion(s, owner.minion, _stop(minion, owner.run))
         yield f"{name} has its slow run stopped", state._replace(**{name: stopped})
@@ -231,20 +229,23 @@
 def resolve_start(
     s: State, name: str, token: int, owner: Owner, variant: PoolVariant
 ) -> Iterator[Step]:
-    """A start was not answered: a stop that is answered bars the run for good.
+    """Stop an unanswered start; an acknowledged stop bars the run permanently.
 
-    What is being stopped is waited for.
+    The owner waits until a run that is being stopped has ended.
     """
     if owner.minion in owner.unreachable:
         return
     if owner.phase == "stopping" and not s.minions[owner.minion].stopping:
         finished = owner._replace(phase="waiting")
-        yield f"{name} hears that its run was stopped", s._replace(**{name: finished})
+        yield (
+            f"{name} is notified that its run was stopped",
+            s._replace(**{name: finished}),
+        )
     if owner.phase != "sent":
         return
     if variant is PoolVariant.NO_REPLY_IS_REFUSAL:
         again = owner._replace(phase="waiting")
-        yield f"{name} takes silence for a refusal", s._replace(**{name: again})
+        yield f"{name} treats silence as a refusal", s._replace(**{name: again})
     minion = s.minions[owner.minion]
     if minion.token <= token:
         stopped = _stop(minion, owner.run)
@@ -254,7 +255,7 @@
 
 
 def delay_extension(s: State, name: str, token: int, owner: Owner) -> Iterator[Step]:
-    """An extension has no answer, and its minion answers a later call."""
+    """A lease extension gets no reply, but its minion answers a later call."""
     if not s.extensions_left or owner.phase not in ("sent", "active"):
         return
     number = owner.minion
@@ -264,15 +265,15 @@
     state = s._replace(
         extension=Extension(number, token), extensions_left=0, **{name: missed}
     )
-    yield f"an extension of {name} to {number} is held up", state
+    yield f"an extension of {name} to {number} is delayed", state
 
 
 def lose_contact(
     s: State, name: str, owner: Owner, variant: PoolVariant
 ) -> Iterator[Step]:
-    """The task's minion falls silent; in time every lease there is over for sure.
+    """The task's minion falls silent; after some time every lease there has expired.
 
-    Silence of the other is a step that never comes: nothing need be sent there.
+    Silence of the other minion needs no transition, since nothing has to be sent there.
     """
     may_run = owner.phase in ("sent", "found", "active", "stopping")
     if may_run and owner.minion not in owner.unreachable:
@@ -285,8 +286,8 @@
         silent = silent._replace(phase="waiting" if ignores_lease else "silent")
         yield f"{number} falls silent to {name}", s._replace(**{name: silent})
     if owner.phase == "silent":
-        # The owner asks the store whether it still owns the pool. A successor may have
-        # extended the lease that it takes for over.
+        # The owner confirms with the store that it still owns the pool, because a
+        # successor may have extended the lease that seems to have expired.
         replaced = name == "first" and s.second.phase != "away"
         confirmed = not replaced or variant is PoolVariant.OWNERSHIP_UNCONFIRMED
         if owner.delayed_extension == owner.minion:
@@ -296,7 +297,7 @@
             yield f"the lease on {owner.minion} lapses", expired
         else:
             given_up = owner._replace(phase="given up")
-            yield f"{name} gives the task up", s._replace(**{name: given_up})
+            yield f"{name} gives up the task", s._replace(**{name: given_up})
 
 
 def _expire(s: State, name: str, owner: Owner, variant: PoolVariant) -> State:
@@ -321,7 +322,7 @@
 def restore_contact(
     s: State, name: str, token: int, owner: Owner, variant: PoolVariant
 ) -> Iterator[Step]:
-    """A minion is in reach again: stop what may come late there, then hold it."""
+    """A minion is reachable again: stop late starts there, then renew its lease."""
     for number in sorted(owner.unreachable):
         minion = s.minions[number]
         if minion.token > token or (owner.phase == "silent" and owner.minion == number):
@@ -340,16 +341,16 @@
             lease=True, token=token, late_extension=False, leased_by=token
         )
         yield (
-            f"{name} holds {number} again",
+            f"{name} renews the lease on {number}",
             _with_minion(s, number, leased)._replace(**{name: restored}),
         )
 
 
 def take_over(s: State, variant: PoolVariant) -> Iterator[Step]:
-    """The second owner takes the pool, and looks at and holds one minion after another.
+    """The second owner takes the pool, then queries and leases each minion.
 
-    It takes what it sees for all that runs once what was being stopped when it looked
-    has had time to end.
+    It relies on the replies as the complete list of active runs once the runs that
+    were being stopped at the time of the query have had time to end.
     """
     owner = s.second
     if owner.phase == "away":
@@ -369,14 +370,14 @@
             seen = seen._replace(phase="active", minion=number, run=minion.running)
         fenced = minion._replace(token=2, late_extension=False)
         yield (
-            f"second looks at {number}",
+            f"second queries {number}",
             _with_minion(s, number, fenced)._replace(second=seen),
         )
     for number in sorted(owner.fenced - owner.unreachable):
         minion = s.minions[number]
         if minion.leased_by != 2:
             leased = minion._replace(lease=True, leased_by=2)
-            yield f"second holds {number}", _with_minion(s, number, leased)
+            yield f"second leases {number}", _with_minion(s, number, leased)
     stopped = not any(minion.stopping for minion in s.minions)
     no_pending_stop = stopped or variant is PoolVariant.PENDING_STOP_IGNORED
     all_seen = owner.fenced == frozenset(MINIONS) and no_pending_stop
@@ -387,7 +388,7 @@
 
 
 def refuse_job(s: State, variant: PoolVariant) -> Iterator[Step]:
-    """The caller is told that the job has not run; nothing of it is sent after that."""
+    """Report the job as not run; none of its tasks may be sent after that."""
     if s.refused or s.first.phase != "waiting":
         return
     if not s.sent or variant is PoolVariant.SENT_START_FORGOTTEN:
@@ -412,12 +413,12 @@
 
 
 def never_two_runs(s: dict) -> bool:
-    """The task is never at work twice at the same time."""
+    """The task never has two active runs at the same time."""
     return sum(bool(m.running) + bool(m.stopping) for m in s["minions"]) <= 1
 
 
 def not_run_is_true(s: dict) -> bool:
-    """Nothing of a job that was said not to have run is at work or on its way."""
+    """No start was sent for a job that was reported as not run."""
     return not (s["refused"] and s["sent"])
 
 
@@ -425,7 +426,7 @@
 
 
 def pool_model(variant: PoolVariant = PoolVariant.AS_DESIGNED) -> Protocol:
-    """Return the protocol, as designed or broken, for the checker."""
+    """Return the model of `variant` for the checker."""
     return fail_fast_model(
         variant.value, State, initial(), lambda s: steps(s, variant), POOL_INVARIANTS
     )
--- a/spec/resend_timing.py
+++ b/spec/resend_timing.py
@@ -1,9 +1,9 @@
-"""Specify how soon the runs of a job end whose coordinator is not heard any more.
+"""Check that the runs of a job end in time after contact with its coordinator is lost.
 
-A client sends a job again `RESEND` after its connection broke or it was told 502 or
-504, and the new try may run anywhere. By then no run of the first try may be at work.
-Meanwhile the owner that keeps the runs may die, and another may take over just before
-their lease ends. Time goes in ticks of 20 ms; the intervals are those of the code.
+A client retries a job `RESEND` after its connection broke or it received 502 or 504,
+and the retry may run anywhere. By then no run of the first attempt may be active.
+Meanwhile the pool's owner may die, and another may take over just before the leases
+expire. Time advances in ticks of 20 ms; the intervals are the defaults of the code.
 """
 
 from __future__ import annotations
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True)
 class Intervals:
-    """Hold the intervals in ticks, rounded against us.
+    """Hold the intervals in ticks, each rounded towards the worse case.
 
-    `heard_until_told` is how long after the owner last heard it the coordinator tells
-    its caller that the job is given up.
+    `give_up_delay` is the time from the coordinator's last message to the owner until
+    the caller is informed that the job was given up.
     """
 
     requester_silence: int
@@ -41,7 +41,7 @@
 
 
 def configured_intervals() -> Intervals:
-    """Return the intervals that the code works by."""
+    """Return the default intervals of the code."""
     pool, coordinator = PoolTiming(), CoordinatorTiming()
     slow_clock_lease = pool.lease / (1 - pool.clock_rate_error)
     return Intervals(
@@ -59,7 +59,7 @@
 
 
 class State(NamedTuple):
-    """What is left until each thing happens, in ticks; None: it does not come.
+    """The ticks left until each event; None if it is not scheduled.
 
     `owner` is "first", "dead" or "second". `running` is false once the run has ended.
     """
@@ -74,7 +74,7 @@
 
 
 def initial(intervals: Intervals) -> State:
-    """Return the moment at which the owner has last heard the coordinator."""
+    """Return the state when the owner receives the coordinator's last message."""
     return State(
         "first",
         intervals.requester_silence,
@@ -87,9 +87,9 @@
 
 
 def steps(s: State, intervals: Intervals) -> Iterator[tuple[str, State]]:
-    """Yield what may happen at this moment, and the passing of a tick."""
+    """Yield the events possible now, and the passing of one tick."""
     if s.owner == "first":
-        # Its last hold may have been sent at the moment of its death.
+        # The owner may have renewed the lease immediately before it died.
         dead = s._replace(owner="dead", lease_left=intervals.lease, stop_left=None)
         yield "the owner dies", dead
     if s.owner == "dead" and s.running:
@@ -114,12 +114,12 @@
 
 
 def ended_before_resend(s: dict) -> bool:
-    """When the job is sent again, no run of the first try is at work."""
+    """No run of the first attempt is active when the job is sent again."""
     return s["resend_left"] > 0 or not s["running"]
 
 
 def resend_model(intervals: Intervals) -> Protocol:
-    """Return the model for `intervals`."""
+    """Return the timing model for `intervals`."""
     return Protocol(
         name=str(intervals),
         candidate=False,
--- a/spec/state.py
+++ b/spec/state.py
@@ -1,4 +1,4 @@
-"""Describe the state of the modelled system."""
+"""Define the state of the job protocol's model."""
 
 from __future__ import annotations
 
@@ -11,8 +11,10 @@
 class Leader(NamedTuple):
     """A host in its role as leader of the journal.
 
-    `view` is what it believes, `queue` what of that the platform is not known to
-    have, `copied` what of the queue a replica is known to hold.
+    `view` holds the records it knows, `queue` those of them that the platform is not
+    known to have stored, and `replicated` those of the queue that are committed by
+    replica copies. `notified_replicas` know that the leader works offline. `in_doubt`
+    means that records of the previous term may be missing from `view`.
     """
 
     mode: str  # "standby", "sealed", "leads", "deposed" or "dead"
@@ -26,7 +28,7 @@
 
 
 class Replica(NamedTuple):
-    """A host in its role as replica of the first term; `copies` None: no notice."""
+    """A replica of the first term; `copies` is None until the leader notifies it."""
 
     alive: bool = True
     fenced: bool = False
@@ -34,7 +36,7 @@
 
 
 class Executor(NamedTuple):
-    """A host in its role as executor: may it run the job, and what was started."""
+    """A host as executor: whether the job is bound to it, and the tasks it started."""
 
     alive: bool = True
     bound: bool = False
@@ -44,8 +46,9 @@
 class State(NamedTuple):
     """The whole system: one job of two tasks under one key, two entry hosts.
 
-    Host A leads the first term; host B may begin the second at any moment, whether
-    A is dead, cut off, paused or well. `journal` holds (term, records) per segment.
+    Host A leads the first term. Host B may start the second at any time, whether A is
+    dead, partitioned, paused or healthy. `journal` holds (term, records) per segment.
+    `reported` holds the answers that the caller has received.
     """
 
     journal: tuple[tuple[int, Records], ...]
@@ -53,7 +56,9 @@
     lost_replies_left: int
     leader_a: Leader
     leader_b: Leader
-    replies: tuple[Records | None | str, ...]  # what each replica told B
+    replies: tuple[
+        Records | None | str, ...
+    ]  # each replica's reply to B's fence request
     replicas: tuple[Replica, Replica]
     executor_a: Executor
     executor_b: Executor
@@ -62,7 +67,7 @@
 
 
 def initial() -> State:
-    """Return the state in which A leads and nothing was submitted."""
+    """Return the state in which A leads and no job has been submitted."""
     return State(
         journal=((1, NOTHING),),
         platform="up",
--- a/spec/variant.py
+++ b/spec/variant.py
@@ -1,4 +1,4 @@
-"""List the protocol as designed, and ways to break it."""
+"""Define the variants of the job protocol that the checker explores."""
 
 from __future__ import annotations
 
@@ -6,19 +6,19 @@
 
 
 class Variant(Enum):
-    """Choose which rule, if any, the modelled protocol leaves out."""
+    """Select the rule, if any, that the model omits."""
 
     AS_DESIGNED = "as designed"
-    LATE_COPY_ACCEPTED = "a replica keeps copies of a fenced term"
+    LATE_COPY_ACCEPTED = "a replica accepts copies from a fenced term"
     REPLICAS_NOT_READ = "a new leader reads the platform only"
     ONE_NOTIFICATION_ENOUGH = (
-        "an offline leader counts copies before all have its notice"
+        "an offline leader counts copies before every replica was notified"
     )
-    DOUBT_IGNORED = "a new leader takes keys for new though a replica's word is missing"
-    REPORTED_BEFORE_COMMIT = "an answer is told before it is committed"
-    FENCE_REPORTED_EARLY = "a fence is told of before the platform has it"
-    TAKEOVER_RESTARTS_TASKS = "a host that learns of a dead executor starts the tasks"
-    LOST_REPLY_IS_FAILURE = "a write whose reply was lost is taken as not written"
+    DOUBT_IGNORED = "a new leader treats keys as new although a replica has not replied"
+    REPORTED_BEFORE_COMMIT = "an answer is reported before it is committed"
+    FENCE_REPORTED_EARLY = "a fence is reported before the platform has stored it"
+    TAKEOVER_RESTARTS_TASKS = "a host restarts the tasks of a fenced executor"
+    LOST_REPLY_IS_FAILURE = "a write whose reply was lost is treated as failed"
 
 
 __all__ = ["Variant"]
--- a/tests/spec/test_job_protocol.py
+++ b/tests/spec/test_job_protocol.py
@@ -1,4 +1,4 @@
-"""Check the specification of the job protocol, and that the check can fail."""
+"""Check the job protocol's model and that each broken variant is refuted."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 }
 
 
-def test_the_protocol_holds_in_every_state():
+def test_invariants_hold_in_every_state():
     result = check_safety(model(), MAX_STATES)
     print(f"{result['reachable_states']} states explored")
     assert result["exhaustive"]
@@ -31,10 +31,10 @@
 
 
 @pytest.mark.parametrize(("variant", "broken"), BROKEN.items(), ids=str)
-def test_a_broken_variant_is_caught(variant, broken):
+def test_broken_variant_is_refuted(variant, broken):
     result = check_safety(model(variant), MAX_STATES)
     assert result["properties"][broken]["holds"] is False
 
 
-def test_every_broken_variant_is_tried():
+def test_every_broken_variant_is_checked():
     assert set(BROKEN) == set(Variant) - {Variant.AS_DESIGNED}
--- a/tests/spec/test_pool_protocol.py
+++ b/tests/spec/test_pool_protocol.py
@@ -1,4 +1,4 @@
-"""Check the specification of pools, and that the check can fail."""
+"""Check the pool and retry models and that each broken variant is refuted."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 }
 
 
-def test_the_protocol_holds_in_every_state():
+def test_invariants_hold_in_every_state():
     result = check_safety(pool_model(), MAX_STATES)
     print(f"{result['reachable_states']} states explored")
     assert result["exhaustive"]
@@ -34,12 +34,12 @@
 
 
 @pytest.mark.parametrize(("variant", "broken"), BROKEN.items(), ids=str)
-def test_a_broken_variant_is_caught(variant, broken):
+def test_broken_variant_is_refuted(variant, broken):
     result = check_safety(pool_model(variant), MAX_STATES)
     assert result["properties"][broken]["holds"] is False
 
 
-def test_every_broken_variant_is_tried():
+def test_every_broken_variant_is_checked():
     assert set(BROKEN) == set(PoolVariant) - {PoolVariant.AS_DESIGNED}
 
 
@@ -49,7 +49,7 @@
     return result["properties"]["ended_before_resend"]["holds"]
 
 
-def test_runs_have_ended_before_the_client_sends_the_job_again():
+def test_runs_end_before_the_client_retries():
     assert holds(configured_intervals())
 
 
@@ -62,5 +62,5 @@
         {"give_up_delay": 0},
     ],
 )
-def test_longer_intervals_break_the_inequality(change):
+def test_changed_interval_violates_the_bound(change):
     assert not holds(replace(configured_intervals(), **change))
