--- a/measure/capacity.py
+++ b/measure/capacity.py
@@ -18,7 +18,7 @@
 from brasstray.job.job_id import JobId
 from brasstray.job.outcome import Outcome
 from brasstray.journal.journal import Journal
-from brasstray.journal.records import Answered, Bound
+from brasstray.journal.records import JobAnswered, KeyBound
 from brasstray.journal.segment import Segment
 from brasstray.journal.state import JournalState
 from brasstray.journal.takeover import Takeover
@@ -98,16 +98,16 @@
     return SlopeRow(what, unit, measured, float(intercept), float(slope), max(errors))
 
 
-def _record_pair(number: int) -> tuple[Bound, Answered]:
+def _record_pair(number: int) -> tuple[KeyBound, JobAnswered]:
     key = KeyText(f"own~20261231T120000Z~utrecht-a~leave-{number:08d}")
     job = JobId(caller=CallerName(f"filiaal-{number % 400}"), key=key)
     executor = IncarnationId("utrecht-a.entry-0.0123456789ab")
     expires = STARTED + timedelta(hours=4)
     digest = f"{number:032x}"
-    bound = Bound(
+    bound = KeyBound(
         job=job, digest=digest, executor=executor, task_count=9, expires=expires
     )
-    answered = Answered(
+    answered = JobAnswered(
         job=job,
         executor=executor,
         outcome=Outcome.COMPLETE,
--- a/src/brasstray/entry/election.py
+++ b/src/brasstray/entry/election.py
@@ -90,7 +90,7 @@
         self._journal_service.set_leader(leader)
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._lease.keep)
+                group.start_soon(self._lease.renew_until_cancelled)
                 group.start_soon(self._watch_for_later_term, leader, group)
                 await leader.writer.run()
                 group.cancel_scope.cancel()
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -12,7 +12,7 @@
 from brasstray.entry.errors import JournalUnreachableError
 from brasstray.job.answer import Answer, may_have_run, not_yet_known, refused
 from brasstray.job.reason import Reason
-from brasstray.journal.records import Answered
+from brasstray.journal.records import JobAnswered
 from brasstray.peer.messages import RecordAnswer
 
 if TYPE_CHECKING:
@@ -148,7 +148,7 @@
         """
         assert answer.digest is not None
         message = RecordAnswer(
-            wanted=Answered(
+            wanted=JobAnswered(
                 job=run.job,
                 executor=self._config.incarnation,
                 outcome=answer.outcome,
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -21,7 +21,7 @@
     parse_key,
 )
 from brasstray.job.reason import Reason
-from brasstray.journal.records import Bound
+from brasstray.journal.records import KeyBound
 from brasstray.peer.messages import Bind, Cancel, Fetch, LookUp, Submit
 from brasstray.table.row import TableRow
 
@@ -166,8 +166,8 @@
 
     async def _bind(
         self, job: JobId, key: OwnKey, request: JobRequest
-    ) -> Bound | Answer:
-        wanted = Bound(
+    ) -> KeyBound | Answer:
+        wanted = KeyBound(
             job=job,
             digest=request.digest,
             executor=self._config.incarnation,
--- a/src/brasstray/entry/journal_client.py
+++ b/src/brasstray/entry/journal_client.py
@@ -59,7 +59,7 @@
         leader = self._membership.leader
         if leader is None or leader == self._config.incarnation:
             return None
-        timeout = 2 * self._config.timing.journal.commit_patience
+        timeout = 2 * self._config.timing.journal.commit_timeout
         try:
             return await self._peers.call(host_of(leader), leader, message, timeout)
         except PeerError:
--- a/src/brasstray/entry/journal_service.py
+++ b/src/brasstray/entry/journal_service.py
@@ -80,7 +80,7 @@
         self, leader: Leader, message: RecordAnswer
     ) -> JournalReply:
         wanted = message.wanted
-        answered = await leader.answer(wanted)
+        answered = await leader.commit_answer(wanted)
         return JournalReply(
             answered=answered,
             fenced=leader.is_fenced(wanted.executor),
--- a/src/brasstray/entry/peer_replicas.py
+++ b/src/brasstray/entry/peer_replicas.py
@@ -68,7 +68,7 @@
             raise ReplicaUnreachableError(f"unexpected reply from {replica}")
         return reply.records
 
-    def live(self) -> list[IncarnationId]:
+    def candidates(self) -> list[IncarnationId]:
         """Return the other live hosts of the data centre that are not draining."""
         live = self._membership.live()
         return [member.incarnation for member in live if not member.draining]
--- a/src/brasstray/http/status_page.py
+++ b/src/brasstray/http/status_page.py
@@ -20,7 +20,7 @@
         journal |= {
             "replicas": writer.replicas,
             "offline": writer.offline,
-            "remembered": leader.remembered,
+            "remembered": leader.key_count,
             "writes": writer.writes,
         }
     return {
--- a/src/brasstray/journal/leader.py
+++ b/src/brasstray/journal/leader.py
@@ -21,7 +21,7 @@
     from brasstray.job.job_id import JobId
     from brasstray.journal.backlog import Backlog
     from brasstray.journal.backlog_item import BacklogItem
-    from brasstray.journal.records import Answered, Bound, Record
+    from brasstray.journal.records import JobAnswered, KeyBound, Record
     from brasstray.journal.state import JournalState
     from brasstray.journal.timing import JournalTiming
     from brasstray.journal.writer import Writer
@@ -54,11 +54,11 @@
         return self._writer
 
     @property
-    def remembered(self) -> int:
+    def key_count(self) -> int:
         """Return the number of keys held in memory."""
         return len(self._state)
 
-    async def bind(self, proposed: Bound) -> Bound:
+    async def bind(self, proposed: KeyBound) -> KeyBound:
         """Return the committed binding of a job: an earlier one, or else `proposed`.
 
         Raise KeyForgottenError, JournalInDoubtError, CommitUnavailableError or
@@ -91,7 +91,7 @@
                 "the journal does not yet accept keys with this expiry"
             )
 
-    async def answer(self, proposed: Answered) -> Answered | None:
+    async def commit_answer(self, proposed: JobAnswered) -> JobAnswered | None:
         """Commit the answer `proposed` and return it, or an answer committed earlier.
 
         Return None if the executor is fenced or the key's records have been removed,
@@ -122,7 +122,7 @@
         await self._wait_with_timeout(item.flushed, item)
         self._flushed_fences.add(incarnation)
 
-    async def look_up(self, job: JobId) -> tuple[Bound | None, Answered | None]:
+    async def look_up(self, job: JobId) -> tuple[KeyBound | None, JobAnswered | None]:
         """Return the committed binding and answer of `job`."""
         found = self._state.binding_of(job), self._state.answer_of(job)
         await self._wait_for_last_record()
@@ -145,7 +145,7 @@
 
         Raise CommitUnavailableError if the platform does not confirm this in time.
         """
-        with anyio.move_on_after(self._timing.commit_patience.total_seconds()):
+        with anyio.move_on_after(self._timing.commit_timeout.total_seconds()):
             while self._writer.offline and not self._writer.deposed:
                 await self._backlog.wait_for_change()
             await self._commit(TermReleased(term=self._writer.term))
@@ -167,7 +167,7 @@
             await self._wait_with_timeout(last.settled, last)
 
     async def _wait_with_timeout(self, event: anyio.Event, item: BacklogItem) -> None:
-        with anyio.move_on_after(self._timing.commit_patience.total_seconds()):
+        with anyio.move_on_after(self._timing.commit_timeout.total_seconds()):
             await event.wait()
         if item.abandoned:
             raise DeposedError(f"term {self._writer.term} has ended")
--- a/src/brasstray/journal/lease.py
+++ b/src/brasstray/journal/lease.py
@@ -27,7 +27,7 @@
         self._clock = clock
         self._timing = timing
 
-    async def keep(self) -> None:
+    async def renew_until_cancelled(self) -> None:
         """Renew the lease until cancelled."""
         while True:
             with suppress(JournalUnavailableError):
--- a/src/brasstray/journal/record/answered.py
+++ b/src/brasstray/journal/record/job_answered.py
@@ -11,7 +11,7 @@
 from brasstray.journal.record.journal_record import JournalRecord
 
 
-class Answered(JournalRecord):
+class JobAnswered(JournalRecord):
     """Record the only answer that may be given to a job's caller."""
 
     kind: Literal["answered"] = "answered"
@@ -22,4 +22,4 @@
     expires: datetime
 
 
-__all__ = ["Answered"]
+__all__ = ["JobAnswered"]
--- a/src/brasstray/journal/record/bound.py
+++ b/src/brasstray/journal/record/key_bound.py
@@ -10,7 +10,7 @@
 from brasstray.journal.record.journal_record import JournalRecord
 
 
-class Bound(JournalRecord):
+class KeyBound(JournalRecord):
     """Bind a caller's key to the only incarnation that may start the job's tasks."""
 
     kind: Literal["bound"] = "bound"
@@ -21,4 +21,4 @@
     expires: datetime
 
 
-__all__ = ["Bound"]
+__all__ = ["KeyBound"]
--- a/src/brasstray/journal/records.py
+++ b/src/brasstray/journal/records.py
@@ -6,17 +6,17 @@
 
 from pydantic import Field
 
-from brasstray.journal.record.answered import Answered
-from brasstray.journal.record.bound import Bound
 from brasstray.journal.record.incarnation_fenced import IncarnationFenced
+from brasstray.journal.record.job_answered import JobAnswered
+from brasstray.journal.record.key_bound import KeyBound
 from brasstray.journal.record.keys_in_doubt import KeysInDoubt
 from brasstray.journal.record.recovery_completed import RecoveryCompleted
 from brasstray.journal.record.term_released import TermReleased
 from brasstray.journal.record.term_started import TermStarted
 
 Record = Annotated[
-    Bound
-    | Answered
+    KeyBound
+    | JobAnswered
     | IncarnationFenced
     | TermStarted
     | TermReleased
@@ -26,8 +26,8 @@
 ]
 
 __all__ = [
-    "Answered",
-    "Bound",
+    "JobAnswered",
+    "KeyBound",
     "IncarnationFenced",
     "KeysInDoubt",
     "Record",
--- a/src/brasstray/journal/replicas.py
+++ b/src/brasstray/journal/replicas.py
@@ -23,7 +23,7 @@
     async def fence(self, replica: IncarnationId, term: int) -> list[Record] | None:
         """Fence `term` at `replica`; return its copies, or None if it has none."""
 
-    def live(self) -> list[IncarnationId]:
+    def candidates(self) -> list[IncarnationId]:
         """Return the other hosts that can be replicas, in order of preference."""
 
 
--- a/src/brasstray/journal/state.py
+++ b/src/brasstray/journal/state.py
@@ -8,9 +8,9 @@
 
 from brasstray.journal.key_entry import KeyEntry
 from brasstray.journal.records import (
-    Answered,
-    Bound,
     IncarnationFenced,
+    JobAnswered,
+    KeyBound,
     KeysInDoubt,
     RecoveryCompleted,
     TermReleased,
@@ -73,12 +73,12 @@
     def __len__(self) -> int:
         return len(self._keys)
 
-    def binding_of(self, job: JobId) -> Bound | None:
+    def binding_of(self, job: JobId) -> KeyBound | None:
         """Return the binding of `job`, if it has one."""
         entry = self._keys.get(_hash_job(job))
         if entry is None or entry.executor is None or entry.digest is None:
             return None
-        return Bound(
+        return KeyBound(
             job=job,
             digest=entry.digest.hex(),
             executor=entry.executor,
@@ -86,13 +86,13 @@
             expires=datetime.fromtimestamp(entry.expires, UTC),
         )
 
-    def answer_of(self, job: JobId) -> Answered | None:
+    def answer_of(self, job: JobId) -> JobAnswered | None:
         """Return the recorded answer to `job`, if there is one."""
         entry = self._keys.get(_hash_job(job))
         if entry is None or entry.outcome is None or entry.answer_digest is None:
             return None
         assert entry.answered_by is not None
-        return Answered(
+        return JobAnswered(
             job=job,
             executor=entry.answered_by,
             outcome=entry.outcome,
@@ -114,9 +114,9 @@
     def apply(self, record: Record) -> None:
         """Apply one record."""
         match record:
-            case Bound():
+            case KeyBound():
                 self._apply_binding(record)
-            case Answered() if record.executor not in self._fenced:
+            case JobAnswered() if record.executor not in self._fenced:
                 self._apply_answer(record)
             case IncarnationFenced():
                 self._fenced.add(record.incarnation)
@@ -149,14 +149,14 @@
     def _intern(self, incarnation: IncarnationId) -> IncarnationId:
         return self._interned.setdefault(incarnation, incarnation)
 
-    def _apply_binding(self, record: Bound) -> None:
+    def _apply_binding(self, record: KeyBound) -> None:
         entry = self._get_or_add_entry(record.job, record.expires)
         if entry.executor is None:
             entry.executor = self._intern(record.executor)
             entry.digest = bytes.fromhex(record.digest)
             entry.task_count = record.task_count
 
-    def _apply_answer(self, record: Answered) -> None:
+    def _apply_answer(self, record: JobAnswered) -> None:
         entry = self._get_or_add_entry(record.job, record.expires)
         if entry.outcome is None:
             entry.answered_by = self._intern(record.executor)
--- a/src/brasstray/journal/takeover.py
+++ b/src/brasstray/journal/takeover.py
@@ -73,7 +73,7 @@
         started = TermStarted(
             term=latest_term + 1,
             leader=incarnation,
-            replicas=self._replicas.live()[:REPLICA_COUNT],
+            replicas=self._replicas.candidates()[:REPLICA_COUNT],
         )
         last_index = await self._append(last_index, state, started, [started])
         recovered = await self._recover(unrecovered_terms, in_doubt_until)
--- a/src/brasstray/journal/timing.py
+++ b/src/brasstray/journal/timing.py
@@ -14,7 +14,7 @@
     write_burst: int = 10
     min_retry_delay: timedelta = timedelta(milliseconds=500)
     max_retry_delay: timedelta = timedelta(seconds=5)
-    commit_patience: timedelta = timedelta(seconds=3)
+    commit_timeout: timedelta = timedelta(seconds=3)
     replica_retry_delay: timedelta = timedelta(milliseconds=250)
     replica_check_interval: timedelta = timedelta(seconds=1)
     fence_timeout: timedelta = timedelta(seconds=2)
--- a/src/brasstray/journal/writer.py
+++ b/src/brasstray/journal/writer.py
@@ -10,9 +10,9 @@
 from brasstray.journal.errors import DeposedError, JournalUnavailableError
 from brasstray.journal.offline_replication import OfflineReplication
 from brasstray.journal.records import (
-    Answered,
-    Bound,
     IncarnationFenced,
+    JobAnswered,
+    KeyBound,
     KeysInDoubt,
     RecoveryCompleted,
     TermReleased,
@@ -213,9 +213,9 @@
         self._started, self._next_term = started, None
 
     def _choose_replicas(self) -> list[IncarnationId]:
-        live = self._replicas.live()
-        kept = [replica for replica in self.replicas if replica in live]
-        added = [replica for replica in live if replica not in kept]
+        candidates = self._replicas.candidates()
+        kept = [replica for replica in self.replicas if replica in candidates]
+        added = [replica for replica in candidates if replica not in kept]
         return (kept + added)[:REPLICA_COUNT]
 
     async def _compact(self) -> None:
@@ -242,7 +242,7 @@
 
 def latest_expiry(segment: Segment, now: datetime) -> datetime:
     """Return when the last key of `segment` expires, or `now` if it has no key."""
-    keyed = (r for r in segment.records if isinstance(r, Bound | Answered))
+    keyed = (r for r in segment.records if isinstance(r, KeyBound | JobAnswered))
     return max((record.expires for record in keyed), default=now)
 
 
--- a/src/brasstray/peer/message/bind.py
+++ b/src/brasstray/peer/message/bind.py
@@ -4,7 +4,7 @@
 
 from typing import Literal
 
-from brasstray.journal.records import Bound
+from brasstray.journal.records import KeyBound
 from brasstray.peer.message.peer_message import PeerMessage
 
 
@@ -12,7 +12,7 @@
     """Ask the leader to decide which incarnation may start a job's tasks."""
 
     kind: Literal["bind"] = "bind"
-    wanted: Bound
+    wanted: KeyBound
 
 
 __all__ = ["Bind"]
--- a/src/brasstray/peer/message/journal_reply.py
+++ b/src/brasstray/peer/message/journal_reply.py
@@ -4,7 +4,7 @@
 
 from typing import Literal
 
-from brasstray.journal.records import Answered, Bound
+from brasstray.journal.records import JobAnswered, KeyBound
 from brasstray.peer.message.peer_message import PeerMessage
 
 
@@ -12,8 +12,8 @@
     """Return what the journal has recorded about a job."""
 
     kind: Literal["journal"] = "journal"
-    bound: Bound | None = None
-    answered: Answered | None = None
+    bound: KeyBound | None = None
+    answered: JobAnswered | None = None
     fenced: bool = False
     in_doubt: bool = False
     forgotten: bool = False
--- a/src/brasstray/peer/message/record_answer.py
+++ b/src/brasstray/peer/message/record_answer.py
@@ -4,7 +4,7 @@
 
 from typing import Literal
 
-from brasstray.journal.records import Answered
+from brasstray.journal.records import JobAnswered
 from brasstray.peer.message.peer_message import PeerMessage
 
 
@@ -12,7 +12,7 @@
     """Ask the leader to commit an answer before it is sent to the caller."""
 
     kind: Literal["record_answer"] = "record_answer"
-    wanted: Answered
+    wanted: JobAnswered
 
 
 __all__ = ["RecordAnswer"]
--- a/src/brasstray_standins/no_replicas.py
+++ b/src/brasstray_standins/no_replicas.py
@@ -28,7 +28,7 @@
         """Raise ReplicaUnreachableError."""
         raise ReplicaUnreachableError(replica)
 
-    def live(self) -> list[IncarnationId]:
+    def candidates(self) -> list[IncarnationId]:
         """Return an empty list."""
         return []
 
--- a/tests/journal/test_leader.py
+++ b/tests/journal/test_leader.py
@@ -22,7 +22,7 @@
     ReplicaUnreachableError,
 )
 from brasstray.journal.journal import Journal
-from brasstray.journal.records import Answered, Bound
+from brasstray.journal.records import JobAnswered, KeyBound
 from brasstray.journal.replica import Replica
 from brasstray.journal.takeover import Takeover
 from brasstray.journal.timing import JournalTiming
@@ -57,7 +57,7 @@
     async def fence(self, replica, term):
         return self._get(replica).fence(term)
 
-    def live(self):
+    def candidates(self):
         return [replica for replica in self.replicas if replica not in self.unreachable]
 
 
@@ -80,12 +80,12 @@
     def binding(self, name, executor=X, hours=2.0):
         expires = self.clock.now() + timedelta(hours=hours)
         job = JobId(caller=CallerName("c"), key=KeyText(name))
-        return Bound(
+        return KeyBound(
             job=job, digest="0d", executor=executor, task_count=1, expires=expires
         )
 
     def answer_to(self, binding, outcome=Outcome.COMPLETE):
-        return Answered(
+        return JobAnswered(
             job=binding.job,
             executor=binding.executor,
             outcome=outcome,
@@ -234,14 +234,14 @@
     async def scenario(harness):
         leader = await harness.start_leader(A)
         first, second = harness.binding("j", X), harness.binding("k", X)
-        assert await leader.answer(harness.answer_to(first)) is not None
+        assert await leader.commit_answer(harness.answer_to(first)) is not None
         await leader.fence(X)
-        assert await leader.answer(harness.answer_to(second)) is None
-        again = await leader.answer(harness.answer_to(first, Outcome.FAILED))
+        assert await leader.commit_answer(harness.answer_to(second)) is None
+        again = await leader.commit_answer(harness.answer_to(first, Outcome.FAILED))
         assert again.outcome is Outcome.COMPLETE
         later = await harness.start_leader(B, leader.writer.term)
         assert later.is_fenced(X)
-        assert await later.answer(harness.answer_to(second)) is None
+        assert await later.commit_answer(harness.answer_to(second)) is None
 
     run_with_harness(scenario)
 
@@ -270,7 +270,7 @@
         old = harness.binding("k", X, hours=0.05)
         await leader.bind(old)
         await anyio.sleep(1_200)
-        assert leader.remembered == 0
+        assert leader.key_count == 0
         assert len(await harness.journal.read(after=-1)) <= 3
         with pytest.raises(KeyForgottenError):
             await leader.bind(old)
