--- a/src/brasstray/entry/credit_exchange.py
+++ b/src/brasstray/entry/credit_exchange.py
@@ -10,7 +10,7 @@
 
 from brasstray.job.incarnation import host_of
 from brasstray.peer.errors import PeerError
-from brasstray.peer.messages import BorrowSlots, GrantSlots, SlotsGranted
+from brasstray.peer.messages import BorrowSlots, BorrowSlotsReply, GrantSlots
 
 if TYPE_CHECKING:
     from datetime import timedelta
@@ -115,10 +115,10 @@
             reply = await self._peers.call(host_of(peer), peer, message, timeout)
         except PeerError:
             return
-        if isinstance(reply, SlotsGranted):
+        if isinstance(reply, BorrowSlotsReply):
             self._pool.add_credits(reply.minions)
 
-    def grant(self, peer: IncarnationId, message: BorrowSlots) -> SlotsGranted:
+    def grant(self, peer: IncarnationId, message: BorrowSlots) -> BorrowSlotsReply:
         """Grant idle credits to `peer`, and remember the unmet part of its request."""
         granted: dict[str, int] = {}
         if not self._pool.demand:
@@ -135,7 +135,7 @@
             )
         else:
             self._unmet_requests.pop(peer, None)
-        return SlotsGranted(minions=granted)
+        return BorrowSlotsReply(minions=granted)
 
     async def _serve_requests(self) -> None:
         while True:
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -22,7 +22,7 @@
 )
 from brasstray.job.reason import Reason
 from brasstray.journal.records import KeyBound
-from brasstray.peer.messages import Bind, Cancel, Fetch, LookUp, Submit
+from brasstray.peer.messages import BindKey, Cancel, Fetch, LookUp, Submit
 from brasstray.table.row import TableRow
 
 if TYPE_CHECKING:
@@ -175,7 +175,7 @@
             expires=key.expires,
         )
         try:
-            reply = await self._journal.request(Bind(wanted=wanted))
+            reply = await self._journal.request(BindKey(wanted=wanted))
         except JournalUnreachableError:
             return self._not_yet_known(job.key, Reason.JOURNAL_UNAVAILABLE)
         if reply.forgotten:
--- a/src/brasstray/entry/journal_client.py
+++ b/src/brasstray/entry/journal_client.py
@@ -14,7 +14,7 @@
     from brasstray.entry.config import EntryConfig
     from brasstray.entry.journal_service import JournalService
     from brasstray.entry.membership import Membership
-    from brasstray.peer.messages import Bind, LookUp, Message, RecordAnswer
+    from brasstray.peer.messages import BindKey, LookUp, Message, RecordAnswer
     from brasstray.peer.peers import Peers
 
 
@@ -35,7 +35,7 @@
         self._peers = peers
         self._clock = clock
 
-    async def request(self, message: Bind | RecordAnswer | LookUp) -> JournalReply:
+    async def request(self, message: BindKey | RecordAnswer | LookUp) -> JournalReply:
         """Return the leader's reply.
 
         Raise JournalUnreachableError after the journal timeout; the leader may then
@@ -52,7 +52,7 @@
         )
 
     async def _request_once(
-        self, message: Bind | RecordAnswer | LookUp
+        self, message: BindKey | RecordAnswer | LookUp
     ) -> Message | None:
         if self._journal_service.leader is not None:
             return await self._journal_service.handle(message)
--- a/src/brasstray/entry/journal_service.py
+++ b/src/brasstray/entry/journal_service.py
@@ -11,7 +11,7 @@
     KeyForgottenError,
 )
 from brasstray.peer.messages import (
-    Bind,
+    BindKey,
     JournalRefusal,
     JournalReply,
     LookUp,
@@ -46,7 +46,7 @@
         self._leader = leader
 
     async def handle(
-        self, message: Bind | RecordAnswer | LookUp
+        self, message: BindKey | RecordAnswer | LookUp
     ) -> JournalReply | JournalRefusal:
         """Return the journal's reply, or a refusal if this host cannot give one now."""
         leader = self.leader
@@ -54,7 +54,7 @@
             return JournalRefusal(leads=False)
         try:
             match message:
-                case Bind():
+                case BindKey():
                     return await self._bind(leader, message)
                 case RecordAnswer():
                     return await self._record_answer(leader, message)
@@ -65,7 +65,7 @@
         except DeposedError:
             return JournalRefusal(leads=False)
 
-    async def _bind(self, leader: Leader, message: Bind) -> JournalReply:
+    async def _bind(self, leader: Leader, message: BindKey) -> JournalReply:
         try:
             bound = await leader.bind(message.wanted)
         except KeyForgottenError:
--- a/src/brasstray/entry/peer_handler.py
+++ b/src/brasstray/entry/peer_handler.py
@@ -6,12 +6,11 @@
 from typing import TYPE_CHECKING
 
 from brasstray.peer.messages import (
+    Acknowledgement,
     AnswerReply,
-    AskTable,
-    Bind,
+    BindKey,
     BorrowSlots,
     Cancel,
-    Done,
     DropCopies,
     FenceReply,
     FenceTerm,
@@ -25,6 +24,7 @@
     RecordAnswer,
     Submit,
     TableReply,
+    TableRequest,
 )
 
 if TYPE_CHECKING:
@@ -66,7 +66,7 @@
             case Heartbeat():
                 self._heartbeats.receive(message)
                 return self._heartbeats.build(message.sender)
-            case AskTable():
+            case TableRequest():
                 ready = self._tables.ready
                 return TableReply(table=self._tables.table, ready=ready)
             case BorrowSlots():
@@ -75,7 +75,7 @@
                 self._pool.add_credits(message.minions)
             case Submit() | Fetch() | Cancel():
                 return AnswerReply(answer=await self._answer(message))
-            case Bind() | RecordAnswer() | LookUp():
+            case BindKey() | RecordAnswer() | LookUp():
                 return await self._journal.handle(message)
             case HoldCopies():
                 copies = dict(zip(message.numbers, message.records, strict=True))
@@ -84,7 +84,7 @@
                 self._replica.drop(message.term, message.below)
             case FenceTerm():
                 return FenceReply(records=self._replica.fence(message.term))
-        return Done()
+        return Acknowledgement()
 
     async def _answer(self, message: Submit | Fetch | Cancel) -> Answer:
         caller, key, hops = message.job.caller, message.job.key, message.hops
--- a/src/brasstray/entry/table_cache.py
+++ b/src/brasstray/entry/table_cache.py
@@ -8,7 +8,7 @@
 
 from brasstray.job.incarnation import host_of
 from brasstray.peer.errors import PeerError
-from brasstray.peer.messages import AskTable, TableReply
+from brasstray.peer.messages import TableReply, TableRequest
 from brasstray.table.errors import TableError
 from brasstray.table.table import Table
 
@@ -93,7 +93,7 @@
     async def _fetch(self, peer: IncarnationId) -> None:
         timeout = self._config.timing.peer_timeout
         try:
-            reply = await self._peers.call(host_of(peer), peer, AskTable(), timeout)
+            reply = await self._peers.call(host_of(peer), peer, TableRequest(), timeout)
         except PeerError:
             return
         if isinstance(reply, TableReply) and reply.ready:
@@ -121,7 +121,7 @@
             for host in self._membership.listed_in(data_centre):
                 timeout = self._config.timing.peer_timeout
                 try:
-                    reply = await self._peers.call(host, None, AskTable(), timeout)
+                    reply = await self._peers.call(host, None, TableRequest(), timeout)
                 except PeerError:
                     versions_by_host[host] = None
                     continue
--- a/src/brasstray/peer/message/done.py
+++ b/src/brasstray/peer/message/acknowledgement.py
@@ -7,10 +7,10 @@
 from brasstray.peer.message.peer_message import PeerMessage
 
 
-class Done(PeerMessage):
+class Acknowledgement(PeerMessage):
     """Acknowledge a message whose reply carries no data."""
 
     kind: Literal["done"] = "done"
 
 
-__all__ = ["Done"]
+__all__ = ["Acknowledgement"]
--- a/src/brasstray/peer/message/bind.py
+++ b/src/brasstray/peer/message/bind_key.py
@@ -8,11 +8,11 @@
 from brasstray.peer.message.peer_message import PeerMessage
 
 
-class Bind(PeerMessage):
+class BindKey(PeerMessage):
     """Ask the leader to decide which incarnation may start a job's tasks."""
 
     kind: Literal["bind"] = "bind"
     wanted: KeyBound
 
 
-__all__ = ["Bind"]
+__all__ = ["BindKey"]
--- a/src/brasstray/peer/messages.py
+++ b/src/brasstray/peer/messages.py
@@ -6,12 +6,12 @@
 
 from pydantic import Field
 
+from brasstray.peer.message.acknowledgement import Acknowledgement
 from brasstray.peer.message.answer_reply import AnswerReply
-from brasstray.peer.message.ask_table import AskTable
-from brasstray.peer.message.bind import Bind
+from brasstray.peer.message.bind_key import BindKey
 from brasstray.peer.message.borrow_slots import BorrowSlots
+from brasstray.peer.message.borrow_slots_reply import BorrowSlotsReply
 from brasstray.peer.message.cancel import Cancel
-from brasstray.peer.message.done import Done
 from brasstray.peer.message.drop_copies import DropCopies
 from brasstray.peer.message.fence_reply import FenceReply
 from brasstray.peer.message.fence_term import FenceTerm
@@ -24,22 +24,22 @@
 from brasstray.peer.message.journal_reply import JournalReply
 from brasstray.peer.message.look_up import LookUp
 from brasstray.peer.message.record_answer import RecordAnswer
-from brasstray.peer.message.slots_granted import SlotsGranted
 from brasstray.peer.message.submit import Submit
 from brasstray.peer.message.table_reply import TableReply
+from brasstray.peer.message.table_request import TableRequest
 
 Message = Annotated[
     Heartbeat
-    | AskTable
+    | TableRequest
     | TableReply
     | BorrowSlots
-    | SlotsGranted
+    | BorrowSlotsReply
     | GrantSlots
     | Submit
     | Fetch
     | Cancel
     | AnswerReply
-    | Bind
+    | BindKey
     | RecordAnswer
     | LookUp
     | JournalReply
@@ -49,17 +49,17 @@
     | FenceTerm
     | HoldReply
     | FenceReply
-    | Done,
+    | Acknowledgement,
     Field(discriminator="kind"),
 ]
 
 __all__ = [
+    "Acknowledgement",
     "AnswerReply",
-    "AskTable",
-    "Bind",
+    "BindKey",
     "BorrowSlots",
+    "BorrowSlotsReply",
     "Cancel",
-    "Done",
     "DropCopies",
     "FenceReply",
     "FenceTerm",
@@ -73,7 +73,7 @@
     "LookUp",
     "Message",
     "RecordAnswer",
-    "SlotsGranted",
     "Submit",
     "TableReply",
+    "TableRequest",
 ]
--- a/tests/peer/test_websockets.py
+++ b/tests/peer/test_websockets.py
@@ -12,7 +12,7 @@
 from brasstray.peer.envelope import Envelope, EnvelopeKind
 from brasstray.peer.errors import PeerNotReachedError, PeerReplyLostError
 from brasstray.peer.link import PeerLink
-from brasstray.peer.messages import Done, FenceTerm, HoldReply
+from brasstray.peer.messages import Acknowledgement, FenceTerm, HoldReply
 from brasstray.peer.websocket_server import WebSocketServer
 
 CALLER, SERVER = IncarnationId("dc.a.1"), IncarnationId("dc.b.1")
@@ -77,7 +77,7 @@
         async with anyio.create_task_group() as group:
             link = PeerLink(CALLER, f"ws://127.0.0.1:{port}", group)
             with pytest.raises(PeerNotReachedError):
-                await link.call(None, Done(), LONG_TIMEOUT)
+                await link.call(None, Acknowledgement(), LONG_TIMEOUT)
 
     anyio.run(scenario)
 
