--- a/src/brasstray/dispatch/job_run.py
+++ b/src/brasstray/dispatch/job_run.py
@@ -177,7 +177,7 @@
                 load.listed,
                 TaskId(self.job, task.index),
                 task.request,
-                context.timing.task_patience,
+                context.timing.task_timeout,
             )
         except MinionError as error:
             context.metrics.count_retry(error.reason)
--- a/src/brasstray/dispatch/timing.py
+++ b/src/brasstray/dispatch/timing.py
@@ -22,9 +22,9 @@
     min_ejection: timedelta = timedelta(seconds=5)
     max_ejection: timedelta = timedelta(seconds=60)
     max_ejected_share: float = 0.3
-    task_patience: timedelta = timedelta(seconds=30)
+    task_timeout: timedelta = timedelta(seconds=30)
     max_repeats: int = 3
-    answer_hold: timedelta = timedelta(minutes=15)
+    result_retention: timedelta = timedelta(minutes=15)
 
 
 __all__ = ["DispatchTiming"]
--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -181,7 +181,7 @@
         self._draining = True
         self._runner.drain()
         self._heartbeats.drain()
-        deadline = self._clock.monotonic() + self._config.timing.drain_limit
+        deadline = self._clock.monotonic() + self._config.timing.drain_timeout
         while self._executions.unanswered and self._clock.monotonic() < deadline:
             log_message("brasstray:draining", jobs=self._executions.unanswered)
             await self._clock.sleep(self._config.timing.heartbeat)
--- a/src/brasstray/entry/executions.py
+++ b/src/brasstray/entry/executions.py
@@ -64,7 +64,7 @@
                 continue
             if run.expires <= self._horizon:
                 del self._runs[job]
-            elif monotonic_now - run.answered_at > self._timing.answer_hold:
+            elif monotonic_now - run.answered_at > self._timing.result_retention:
                 run.drop_results()
 
 
--- a/src/brasstray/entry/timing.py
+++ b/src/brasstray/entry/timing.py
@@ -22,7 +22,7 @@
     journal_retry_interval: timedelta = timedelta(milliseconds=100)
     retry_after: timedelta = timedelta(seconds=1)
     forward_margin: timedelta = timedelta(seconds=2)
-    drain_limit: timedelta = timedelta(seconds=60)
+    drain_timeout: timedelta = timedelta(seconds=60)
     purge_interval: timedelta = timedelta(seconds=10)
     table_interval: timedelta = timedelta(seconds=1)
     reconcile_interval: timedelta = timedelta(seconds=1)
--- a/src/brasstray/minion/http.py
+++ b/src/brasstray/minion/http.py
@@ -36,7 +36,7 @@
         minion: ListedHost,
         task_id: TaskId,
         task: TaskRequest,
-        patience: timedelta,
+        timeout: timedelta,
     ) -> JsonValue:
         """Start `task` once on `minion` and return its result."""
         endpoint = (minion.address, minion.port)
@@ -45,7 +45,7 @@
             connections = self._connections[endpoint] = Connections(*endpoint)
         body = json.dumps({"task": task_id.text(), "payload": task.payload}).encode()
         try:
-            response = await connections.call("POST", "/tasks", body, patience)
+            response = await connections.call("POST", "/tasks", body, timeout)
             return _parse_result(response)
         except NotConnectedError as error:
             raise TaskNotRunError(RetryReason.CONNECTION_REFUSED) from error
--- a/src/brasstray/minion/minions.py
+++ b/src/brasstray/minion/minions.py
@@ -22,11 +22,11 @@
         minion: ListedHost,
         task_id: TaskId,
         task: TaskRequest,
-        patience: timedelta,
+        timeout: timedelta,
     ) -> JsonValue:
         """Start `task` once on `minion` and return its result.
 
-        If the start fails or `patience` passes without a reply, raise TaskNotRunError
+        If the start fails or `timeout` passes without a reply, raise TaskNotRunError
         if the task is known not to have run, and TaskMayHaveRunError otherwise.
         """
 
--- a/src/brasstray/peer/peers.py
+++ b/src/brasstray/peer/peers.py
@@ -19,7 +19,7 @@
         host: HostName,
         receiver: IncarnationId | None,
         message: Message,
-        patience: timedelta,
+        timeout: timedelta,
     ) -> Message:
         """Send `message` to `host` and return the reply.
 
--- a/src/brasstray/peer/websocket_peers.py
+++ b/src/brasstray/peer/websocket_peers.py
@@ -40,11 +40,11 @@
         host: HostName,
         receiver: IncarnationId | None,
         message: Message,
-        patience: timedelta,
+        timeout: timedelta,
     ) -> Message:
         """Send `message` to the peer on `host` and return the reply."""
         self._metrics.count_peer_call(message.kind)
-        return await self._link(host).call(receiver, message, patience)
+        return await self._link(host).call(receiver, message, timeout)
 
     def _link(self, host: HostName) -> PeerLink:
         listed = self._find_host(host)
--- a/src/brasstray/settings/entry_settings.py
+++ b/src/brasstray/settings/entry_settings.py
@@ -61,8 +61,8 @@
             key_lifetime=timedelta(minutes=self.limits.key_lifetime_minutes),
         )
         dispatch = DispatchTiming(
-            task_patience=timedelta(milliseconds=self.limits.task_timeout_ms),
-            answer_hold=self.limits.answer_hold_seconds * second,
+            task_timeout=timedelta(milliseconds=self.limits.task_timeout_ms),
+            result_retention=self.limits.answer_hold_seconds * second,
         )
         return EntryConfig(
             data_centre=centre,
@@ -75,7 +75,7 @@
             },
             max_jobs=self.limits.max_jobs,
             timing=EntryTiming(
-                drain_limit=self.limits.drain_seconds * second,
+                drain_timeout=self.limits.drain_seconds * second,
                 journal=journal,
                 dispatch=dispatch,
             ),
--- a/src/brasstray_standins/memory_minions.py
+++ b/src/brasstray_standins/memory_minions.py
@@ -54,12 +54,12 @@
         minion: ListedHost,
         task_id: TaskId,
         task: TaskRequest,
-        patience: timedelta,
+        timeout: timedelta,
     ) -> JsonValue:
         """Return the result of `task`, started once on `minion`."""
         self._sends += 1
         await self._clock.sleep(self._delay)
-        with anyio.move_on_after(patience.total_seconds()):
+        with anyio.move_on_after(timeout.total_seconds()):
             target = self._minions[minion.name]
             outcome = await target.run(task_id.text(), task.payload)
             await self._clock.sleep(self._delay)
--- a/src/brasstray_standins/memory_network.py
+++ b/src/brasstray_standins/memory_network.py
@@ -64,7 +64,7 @@
         return MemoryPeers(self, sender, host)
 
     async def deliver(
-        self, source: HostName, target: HostName, call: Envelope, patience: timedelta
+        self, source: HostName, target: HostName, call: Envelope, timeout: timedelta
     ) -> Envelope:
         """Deliver `call` and return the reply, both as decoded from encoded bytes."""
         assert call.message is not None
@@ -81,7 +81,7 @@
             raise PeerNotReachedError(f"incarnation {arrived.receiver} is not running")
         pending_call = _PendingCall(arrived)
         group.start_soon(pending_call.run, host, gate)
-        with anyio.move_on_after(patience.total_seconds()):
+        with anyio.move_on_after(timeout.total_seconds()):
             await pending_call.finished.wait()
             await self._clock.sleep(self._delay)
         if pending_call.reply is None or self._is_cut(source, target):
@@ -134,7 +134,7 @@
         host: HostName,
         receiver: IncarnationId | None,
         message: Message,
-        patience: timedelta,
+        timeout: timedelta,
     ) -> Message:
         """Return the reply of the peer on `host`."""
         call = Envelope(
@@ -144,7 +144,7 @@
             receiver=receiver,
             message=message,
         )
-        reply = await self._network.deliver(self._host, host, call, patience)
+        reply = await self._network.deliver(self._host, host, call, timeout)
         assert reply.message is not None
         return reply.message
 
