--- a/measure/routing.py
+++ b/measure/routing.py
@@ -7,7 +7,6 @@
 from random import Random
 
 from brasstray.dispatch.policies import (
-    BlindRandom,
     FirstComeFirst,
     OrderPolicy,
     RoundRobin,
@@ -15,6 +14,7 @@
     SlotCredits,
     SlotPolicy,
     TwoChoices,
+    UniformRandom,
 )
 from measure.trial import Trial
 from measure.workload import LE_GOFF, VAKANTIEHUIS, Site, draw_jobs
@@ -24,7 +24,7 @@
 BURST_BASE_LOAD = 0.2
 WORKERS = 8
 POLICIES: dict[str, tuple[SlotPolicy, OrderPolicy]] = {
-    "naive": (BlindRandom(), FirstComeFirst()),
+    "naive": (UniformRandom(), FirstComeFirst()),
     "two choices": (TwoChoices(), FirstComeFirst()),
     "credits, first come": (SlotCredits(), FirstComeFirst()),
     "credits, round robin": (SlotCredits(), RoundRobin()),
--- a/src/brasstray/dispatch/job_run.py
+++ b/src/brasstray/dispatch/job_run.py
@@ -110,7 +110,7 @@
 
     async def run(self, commit: Callable[[JobRun, Answer], Awaitable[Answer]]) -> None:
         """Send every task, commit the answer, then release it to waiting callers."""
-        self._state = self._state.to(JobState.RUNNING)
+        self._state = self._state.transition_to(JobState.RUNNING)
         # The job must end before its key expires, since expired keys are forgotten.
         time_left = min(
             self._accepted.request.deadline,
@@ -121,9 +121,9 @@
                 await self._send_all()
             if deadline_scope.cancelled_caught:
                 self._stop_reason = Reason.DEADLINE
-        self._state = self._state.to(JobState.COMMITTING)
+        self._state = self._state.transition_to(JobState.COMMITTING)
         self._answer = await commit(self, self._build_answer())
-        self._state = self._state.to(JobState.ANSWERED)
+        self._state = self._state.transition_to(JobState.ANSWERED)
         self._answered_at = self._context.clock.monotonic()
         self._answered.set()
 
--- a/src/brasstray/dispatch/minion_load.py
+++ b/src/brasstray/dispatch/minion_load.py
@@ -31,7 +31,7 @@
     health: MinionHealth = field(default_factory=MinionHealth)
 
     @property
-    def staying(self) -> bool:
+    def accepts_work(self) -> bool:
         """Return whether the minion is listed as live and not known to be leaving."""
         return not self.leaving and self.listed.state is HostState.LIVE
 
@@ -48,7 +48,7 @@
         if self.health.on_probation and self.outstanding:
             return False
         backing_off = max(self.backoff_until, self.health.ejected_until) > now
-        return self.staying and not backing_off
+        return self.accepts_work and not backing_off
 
 
 __all__ = ["MinionLoad"]
--- a/src/brasstray/dispatch/minion_pool.py
+++ b/src/brasstray/dispatch/minion_pool.py
@@ -9,12 +9,12 @@
 
 from brasstray.dispatch.minion_load import MinionLoad
 from brasstray.dispatch.policies import (
-    BlindRandom,
     FirstComeFirst,
     RoundRobin,
     ShortestRemainingFirst,
     SlotCredits,
     TwoChoices,
+    UniformRandom,
 )
 from brasstray.dispatch.slot_waiter import SlotWaiter
 from brasstray.minion.errors import RetryReason
@@ -54,21 +54,21 @@
         self._timing = timing
         self._slots = slots
         self._order = order
-        self._loads: dict[str, MinionLoad] = {}
+        self._minions: dict[str, MinionLoad] = {}
         self._idle: dict[str, MinionLoad] = {}
         self._waiters: list[SlotWaiter] = []
         self._demand_event = anyio.Event()
         self._idle_callback: Callable[[MinionLoad], None] | None = None
 
     @property
-    def loads(self) -> list[MinionLoad]:
+    def minions(self) -> list[MinionLoad]:
         """Return the state of every listed minion."""
-        return list(self._loads.values())
+        return list(self._minions.values())
 
     @property
     def held_credits(self) -> int:
         """Return how many credits this host holds."""
-        return sum(load.credits for load in self._loads.values())
+        return sum(load.credits for load in self._minions.values())
 
     @property
     def demand(self) -> Counter[ServiceName]:
@@ -84,22 +84,22 @@
 
     def get(self, minion: str) -> MinionLoad | None:
         """Return the state of `minion`, or None if it is not listed."""
-        return self._loads.get(minion)
+        return self._minions.get(minion)
 
     def update(self, minions: list[ListedHost]) -> None:
         """Apply the platform's list, in which a minion has one entry per service."""
         names = {minion.name for minion in minions}
-        for removed_name in [name for name in self._loads if name not in names]:
-            del self._loads[removed_name]
+        for removed_name in [name for name in self._minions if name not in names]:
+            del self._minions[removed_name]
             self._idle.pop(removed_name, None)
         for minion in minions:
-            load = self._loads.setdefault(minion.name, MinionLoad(minion))
+            load = self._minions.setdefault(minion.name, MinionLoad(minion))
             if (load.listed.address, load.listed.port) != (minion.address, minion.port):
                 load.leaving = False
             load.listed = minion
             if minion.service is not None:
                 load.services.add(minion.service)
-            if not load.staying:
+            if not load.accepts_work:
                 load.credits = 0
             self._update_idle(load)
         self._assign_slots()
@@ -146,13 +146,13 @@
     def ejected(self) -> list[str]:
         """Return the names of the minions that this host has ejected."""
         now = self._clock.monotonic()
-        loads = self._loads.items()
-        return [name for name, load in loads if load.health.ejected_until > now]
+        minions = self._minions.items()
+        return [name for name, load in minions if load.health.ejected_until > now]
 
     def record_peer_ejections(self, minions: list[str]) -> None:
         """Record that a peer has ejected `minions`; one failure here ejects them."""
         for minion in minions:
-            load = self._loads.get(minion)
+            load = self._minions.get(minion)
             if load is not None:
                 load.health.assume_failures(self._timing.eject_after_failures - 1)
 
@@ -187,9 +187,9 @@
         # When many minions fail at once, the cause is probably elsewhere, and ejecting
         # them all would overload the others. So only a share is ever ejected.
         ejected_count = sum(
-            1 for other in self._loads.values() if other.health.on_probation
+            1 for other in self._minions.values() if other.health.on_probation
         )
-        if ejected_count < self._timing.max_ejected_share * len(self._loads):
+        if ejected_count < self._timing.max_ejected_share * len(self._minions):
             min_duration, max_duration = (
                 self._timing.min_ejection,
                 self._timing.max_ejection,
@@ -199,8 +199,8 @@
     def add_credits(self, granted: dict[str, int]) -> None:
         """Add granted credits, up to the number of slots of each minion."""
         for minion, count in granted.items():
-            load = self._loads.get(minion)
-            if load is not None and load.staying:
+            load = self._minions.get(minion)
+            if load is not None and load.accepts_work:
                 load.credits = min(load.credits + count, load.listed.slots)
                 self._update_idle(load)
         self._assign_slots()
@@ -212,7 +212,7 @@
         """
         yielded: dict[str, int] = {}
         for name, load in list(self._idle.items()):
-            if service in load.services and load.staying:
+            if service in load.services and load.accepts_work:
                 count = min(load.idle_credits, limit - sum(yielded.values()))
                 if count > 0:
                     self.drop_credits(load, count)
@@ -259,11 +259,11 @@
 
     def _select_minion(self, service: ServiceName) -> MinionLoad | None:
         match self._slots:
-            case BlindRandom():
-                eligible = list(self._eligible(self._loads.values(), service))
+            case UniformRandom():
+                eligible = list(self._eligible(self._minions.values(), service))
                 return self._random.choice(eligible) if eligible else None
             case TwoChoices():
-                eligible = list(self._eligible(self._loads.values(), service))
+                eligible = list(self._eligible(self._minions.values(), service))
                 free = [load for load in eligible if _free_slots(load) > 0]
                 sampled = self._random.sample(free, min(_SAMPLE_SIZE, len(free)))
                 return min(sampled, key=lambda load: load.outstanding, default=None)
--- a/src/brasstray/dispatch/policies.py
+++ b/src/brasstray/dispatch/policies.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True)
-class BlindRandom:
+class UniformRandom:
     """Select any minion at random, whatever its load; a baseline for measurements."""
 
 
@@ -20,7 +20,7 @@
     """Select only slots for which this host holds a credit."""
 
 
-SlotPolicy = BlindRandom | TwoChoices | SlotCredits
+SlotPolicy = UniformRandom | TwoChoices | SlotCredits
 
 
 @dataclass(frozen=True)
@@ -41,7 +41,6 @@
 OrderPolicy = FirstComeFirst | RoundRobin | ShortestRemainingFirst
 
 __all__ = [
-    "BlindRandom",
     "FirstComeFirst",
     "OrderPolicy",
     "RoundRobin",
@@ -49,4 +48,5 @@
     "SlotCredits",
     "SlotPolicy",
     "TwoChoices",
+    "UniformRandom",
 ]
--- a/src/brasstray/dispatch/task_run.py
+++ b/src/brasstray/dispatch/task_run.py
@@ -30,7 +30,7 @@
 
     def advance(self, next_state: TaskState) -> None:
         """Change to `next_state`; raise TransitionError if that is not allowed."""
-        self.state = self.state.to(next_state)
+        self.state = self.state.transition_to(next_state)
 
     def finalize(self) -> None:
         """Change to the final state that follows from the end of the job."""
--- a/src/brasstray/entry/credit_exchange.py
+++ b/src/brasstray/entry/credit_exchange.py
@@ -189,7 +189,7 @@
         """Grant all idle credits to a peer; called while draining."""
         live = [member for member in self._membership.live() if not member.draining]
         services: Counter[ServiceName] = Counter()
-        for load in self._pool.loads:
+        for load in self._pool.minions:
             services.update(load.services)
         for service in services if live else ():
             granted = self._pool.yield_credits(service, self._pool.held_credits)
--- a/src/brasstray/entry/credit_reconciler.py
+++ b/src/brasstray/entry/credit_reconciler.py
@@ -58,9 +58,12 @@
         for member in live:
             elsewhere.update(member.holdings)
         candidates = [m.incarnation for m in live if not m.draining]
-        for load in self._pool.loads:
+        for load in self._pool.minions:
             minion = load.listed.name
-            if not load.staying or self.assigned_peer(minion, candidates) is not None:
+            if (
+                not load.accepts_work
+                or self.assigned_peer(minion, candidates) is not None
+            ):
                 self._shortfalls.pop(minion, None)
                 continue
             self._correct(load, load.listed.slots - load.credits - elsewhere[minion])
@@ -98,7 +101,7 @@
         """Return this host's credits by minion, for each peer that reconciles them."""
         live = [m.incarnation for m in self._membership.live() if not m.draining]
         holdings: dict[IncarnationId, dict[str, int]] = {}
-        for load in self._pool.loads:
+        for load in self._pool.minions:
             peer = self.assigned_peer(load.listed.name, live) if load.credits else None
             if peer is not None:
                 holdings.setdefault(peer, {})[load.listed.name] = load.credits
--- a/src/brasstray/http/status_page.py
+++ b/src/brasstray/http/status_page.py
@@ -40,10 +40,10 @@
                 "services": sorted(load.services),
                 "outstanding": load.outstanding,
                 "credits": load.credits,
-                "leaving": not load.staying,
+                "leaving": not load.accepts_work,
                 "ejected": load.health.on_probation,
             }
-            for load in host.pool.loads
+            for load in host.pool.minions
         ],
     }
 
--- a/src/brasstray/job/job_state.py
+++ b/src/brasstray/job/job_state.py
@@ -15,7 +15,7 @@
     COMMITTING = "committing"
     ANSWERED = "answered"
 
-    def to(self, next_state: JobState) -> JobState:
+    def transition_to(self, next_state: JobState) -> JobState:
         """Return `next_state`, or raise TransitionError if it is not allowed next."""
         if next_state not in _TRANSITIONS[self]:
             raise TransitionError(
--- a/src/brasstray/job/task_state.py
+++ b/src/brasstray/job/task_state.py
@@ -16,7 +16,7 @@
     NOT_RUN = "not run"
     MAY_HAVE_RUN = "may have run"
 
-    def to(self, next_state: TaskState) -> TaskState:
+    def transition_to(self, next_state: TaskState) -> TaskState:
         """Return `next_state`, or raise TransitionError if it is not allowed next."""
         if next_state not in _TRANSITIONS[self]:
             raise TransitionError(
--- a/tests/dispatch/test_minion_pool.py
+++ b/tests/dispatch/test_minion_pool.py
@@ -198,7 +198,7 @@
 def test_a_job_that_fails_everywhere_ejects_no_minion():
     async def scenario():
         pool = pool_of([listed(number) for number in range(4)])
-        for load in pool.loads:
+        for load in pool.minions:
             for _ in range(5):
                 load.outstanding += 1
                 pool.record_failure(load, job_id(7), RetryReason.TASK_FAILED)
@@ -211,7 +211,7 @@
 def test_ejections_are_limited_to_a_share_of_the_minions():
     async def scenario():
         pool = pool_of([listed(number) for number in range(10)])
-        for load in pool.loads:
+        for load in pool.minions:
             for number in range(3):
                 load.outstanding += 1
                 pool.record_failure(load, job_id(number), RetryReason.SILENT)
