--- a/src/brasstray/daemon/daemon.py
+++ b/src/brasstray/daemon/entry_daemon.py
@@ -12,7 +12,7 @@
 
 from brasstray.clock.loop import LoopClock
 from brasstray.entry.entry_host import EntryHost
-from brasstray.entry.surroundings import Surroundings
+from brasstray.entry.entry_host_dependencies import EntryHostDependencies
 from brasstray.http.caller_app import CallerApp
 from brasstray.http.server import HttpServer, listen
 from brasstray.minion.http import HttpMinions
@@ -29,7 +29,7 @@
     from brasstray.settings.entry_settings import EntrySettings
 
 
-class Daemon:
+class EntryDaemon:
     """Run an entry host and manage its listeners and connections."""
 
     def __init__(
@@ -79,11 +79,11 @@
         host: EntryHost
         peers = WebSocketPeers(
             self._config.incarnation,
-            lambda name: host.membership.listing(name),
+            lambda name: host.membership.listed_host(name),
             group,
             self._metrics,
         )
-        around = Surroundings(
+        dependencies = EntryHostDependencies(
             LoopClock(),
             self._random,
             self._platform,
@@ -92,7 +92,7 @@
             minions,
             self._metrics,
         )
-        host = EntryHost(self._config, around)
+        host = EntryHost(self._config, dependencies)
         return host
 
     async def drain(self) -> None:
@@ -112,11 +112,11 @@
                 return
 
 
-async def run_daemon(settings: EntrySettings, metrics: Metrics) -> None:
+async def run_entry_daemon(settings: EntrySettings, metrics: Metrics) -> None:
     """Run an entry host with `settings` until SIGTERM or SIGINT."""
     random = SystemRandom()
     platform = settings.platform
-    daemon = Daemon(
+    daemon = EntryDaemon(
         settings.entry_config(random),
         listen(settings.entry.callers.address, settings.entry.callers.port),
         listen(settings.entry.peers.address, settings.entry.peers.port),
@@ -134,4 +134,4 @@
         group.cancel_scope.cancel()
 
 
-__all__ = ["Daemon", "run_daemon"]
+__all__ = ["EntryDaemon", "run_entry_daemon"]
--- a/src/brasstray/daemon/main.py
+++ b/src/brasstray/daemon/main.py
@@ -14,7 +14,7 @@
 from eliot.stdlib import EliotHandler
 from result import Err, Ok
 
-from brasstray.daemon.daemon import run_daemon
+from brasstray.daemon.entry_daemon import run_entry_daemon
 from brasstray.metrics.metrics import ReadableMetrics
 from brasstray.settings.entry_settings import read_entry_settings
 
@@ -36,7 +36,7 @@
             logging.getLogger().addHandler(EliotHandler())
             metrics = ReadableMetrics().metrics(read.entry.host)
             try:
-                anyio.run(partial(run_daemon, read, metrics), backend="asyncio")
+                anyio.run(partial(run_entry_daemon, read, metrics), backend="asyncio")
             except OSError as error:
                 typer.echo(f"{settings}: cannot listen: {error}", err=True)
                 raise typer.Exit(EXIT_CANNOT_LISTEN) from error
--- a/src/brasstray/entry/election.py
+++ b/src/brasstray/entry/election.py
@@ -15,9 +15,9 @@
     from anyio.abc import TaskGroup
 
     from brasstray.entry.config import EntryConfig
+    from brasstray.entry.entry_host_dependencies import EntryHostDependencies
     from brasstray.entry.journal_service import JournalService
     from brasstray.entry.membership import Membership
-    from brasstray.entry.surroundings import Surroundings
     from brasstray.journal.journal import Journal
     from brasstray.journal.leader import Leader
     from brasstray.journal.replicas import Replicas
@@ -33,7 +33,7 @@
         journal_service: JournalService,
         journal: Journal,
         replicas: Replicas,
-        dependencies: Surroundings,
+        dependencies: EntryHostDependencies,
     ) -> None:
         self._config = config
         self._membership = membership
--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -29,7 +29,7 @@
 
 if TYPE_CHECKING:
     from brasstray.entry.config import EntryConfig
-    from brasstray.entry.surroundings import Surroundings
+    from brasstray.entry.entry_host_dependencies import EntryHostDependencies
     from brasstray.job.ids import IncarnationId
     from brasstray.metrics.metrics import Metrics
     from brasstray.peer.messages import Message
@@ -41,7 +41,9 @@
     All external interfaces are injected. No state outlives the process.
     """
 
-    def __init__(self, config: EntryConfig, dependencies: Surroundings) -> None:
+    def __init__(
+        self, config: EntryConfig, dependencies: EntryHostDependencies
+    ) -> None:
         self._config = config
         self._clock = clock = dependencies.clock
         self._metrics = dependencies.metrics
--- a/src/brasstray/entry/surroundings.py
+++ b/src/brasstray/entry/entry_host_dependencies.py
@@ -17,7 +17,7 @@
 
 
 @dataclass(frozen=True)
-class Surroundings:
+class EntryHostDependencies:
     """Hold the clock, the random generator and the interfaces to other systems."""
 
     clock: Clock
@@ -29,4 +29,4 @@
     metrics: Metrics
 
 
-__all__ = ["Surroundings"]
+__all__ = ["EntryHostDependencies"]
--- a/src/brasstray/entry/forwarder.py
+++ b/src/brasstray/entry/forwarder.py
@@ -20,9 +20,9 @@
     from anyio.abc import TaskGroup
 
     from brasstray.entry.config import EntryConfig
+    from brasstray.entry.entry_host_dependencies import EntryHostDependencies
     from brasstray.entry.journal_client import JournalClient
     from brasstray.entry.membership import Membership
-    from brasstray.entry.surroundings import Surroundings
     from brasstray.job.ids import HostName, IncarnationId
     from brasstray.job.job_id import JobId
     from brasstray.job.key import Key
@@ -44,7 +44,7 @@
         config: EntryConfig,
         membership: Membership,
         journal: JournalClient,
-        dependencies: Surroundings,
+        dependencies: EntryHostDependencies,
     ) -> None:
         self._config = config
         self._membership = membership
--- a/src/brasstray/entry/heartbeats.py
+++ b/src/brasstray/entry/heartbeats.py
@@ -17,9 +17,9 @@
     from brasstray.dispatch.minion_pool import MinionPool
     from brasstray.entry.config import EntryConfig
     from brasstray.entry.credit_reconciler import CreditReconciler
+    from brasstray.entry.entry_host_dependencies import EntryHostDependencies
     from brasstray.entry.journal_service import JournalService
     from brasstray.entry.membership import Membership
-    from brasstray.entry.surroundings import Surroundings
     from brasstray.entry.table_cache import TableCache
     from brasstray.job.ids import HostName, IncarnationId
     from brasstray.store.listed_host import ListedHost
@@ -36,7 +36,7 @@
         pool: MinionPool,
         reconciler: CreditReconciler,
         tables: TableCache,
-        dependencies: Surroundings,
+        dependencies: EntryHostDependencies,
     ) -> None:
         self._config = config
         self._membership = membership
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -22,9 +22,9 @@
 
     from brasstray.dispatch.minion_pool import MinionPool
     from brasstray.entry.config import EntryConfig
+    from brasstray.entry.entry_host_dependencies import EntryHostDependencies
     from brasstray.entry.executions import Executions
     from brasstray.entry.journal_client import JournalClient
-    from brasstray.entry.surroundings import Surroundings
     from brasstray.entry.table_cache import TableCache
     from brasstray.job.job_id import JobId
     from brasstray.job.request import JobRequest
@@ -40,7 +40,7 @@
         journal: JournalClient,
         pool: MinionPool,
         tables: TableCache,
-        dependencies: Surroundings,
+        dependencies: EntryHostDependencies,
     ) -> None:
         self._config = config
         self._executions = executions
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -27,10 +27,10 @@
 
 if TYPE_CHECKING:
     from brasstray.entry.config import EntryConfig
+    from brasstray.entry.entry_host_dependencies import EntryHostDependencies
     from brasstray.entry.forwarder import Forwarder
     from brasstray.entry.job_runner import JobRunner
     from brasstray.entry.journal_client import JournalClient
-    from brasstray.entry.surroundings import Surroundings
     from brasstray.entry.table_cache import TableCache
     from brasstray.job.ids import CallerName, IncarnationId, KeyText
     from brasstray.job.request import JobRequest
@@ -53,7 +53,7 @@
         forwarder: Forwarder,
         journal: JournalClient,
         tables: TableCache,
-        dependencies: Surroundings,
+        dependencies: EntryHostDependencies,
     ) -> None:
         self._config = config
         self._runner = runner
--- a/src/brasstray/entry/membership.py
+++ b/src/brasstray/entry/membership.py
@@ -71,7 +71,7 @@
             if host.data_centre == data_centre and name != self._config.host
         ]
 
-    def listing(self, host: HostName) -> ListedHost | None:
+    def listed_host(self, host: HostName) -> ListedHost | None:
         """Return the platform's list entry for `host`, or None."""
         return self._listed.get(host)
 
--- a/src/brasstray_standins/loopback_system.py
+++ b/src/brasstray_standins/loopback_system.py
@@ -10,7 +10,7 @@
 import anyio
 
 from brasstray.clock.loop import LoopClock
-from brasstray.daemon.daemon import Daemon
+from brasstray.daemon.entry_daemon import EntryDaemon
 from brasstray.entry.config import EntryConfig
 from brasstray.entry.service import Service
 from brasstray.entry.timing import EntryTiming
@@ -45,7 +45,7 @@
 class RunningDaemon:
     """Hold an entry daemon and the scope that cancels it."""
 
-    daemon: Daemon
+    daemon: EntryDaemon
     scope: anyio.CancelScope
 
 
@@ -132,7 +132,7 @@
             },
             timing=EntryTiming(),
         )
-        daemon = Daemon(
+        daemon = EntryDaemon(
             config,
             callers,
             peers,
--- a/src/brasstray_standins/memory_system.py
+++ b/src/brasstray_standins/memory_system.py
@@ -13,8 +13,8 @@
 from brasstray.dispatch.policies import ShortestRemainingFirst, SlotCredits
 from brasstray.entry.config import EntryConfig
 from brasstray.entry.entry_host import EntryHost
+from brasstray.entry.entry_host_dependencies import EntryHostDependencies
 from brasstray.entry.service import Service
-from brasstray.entry.surroundings import Surroundings
 from brasstray.entry.timing import EntryTiming
 from brasstray.job.ids import CallerName, DataCentreName, HostName, ServiceName
 from brasstray.job.incarnation import new_incarnation
@@ -150,7 +150,7 @@
         )
         gate = self._gates[name] = Gate()
         platform = GatedProxy(_PlatformView(self, name), gate)
-        around = Surroundings(
+        dependencies = EntryHostDependencies(
             GatedClock(self.clock, gate),
             random,
             platform,
@@ -159,7 +159,7 @@
             GatedProxy(self.starts, gate),
             self.counts.metrics(name),
         )
-        host = EntryHost(config, around)
+        host = EntryHost(config, dependencies)
         self.hosts[name] = host
         self._scopes[name] = anyio.CancelScope()
         self._group.start_soon(self._run, host, self._scopes[name])
