--- a/src/brasstray/http/client_connection.py
+++ b/src/brasstray/http/client_connection.py
@@ -7,8 +7,8 @@
 
 import httptools
 
+from brasstray.http.client_response import ClientResponse
 from brasstray.http.errors import ConnectionLostError
-from brasstray.http.reply import HttpReply
 
 if TYPE_CHECKING:
     from datetime import timedelta
@@ -29,7 +29,7 @@
 
     def __init__(self) -> None:
         self._transport: asyncio.Transport | None = None
-        self._waiter: asyncio.Future[HttpReply] | None = None
+        self._waiter: asyncio.Future[ClientResponse] | None = None
         self._timer: asyncio.TimerHandle | None = None
         self._last_received_at = 0.0
         self._reset()
@@ -39,7 +39,7 @@
         """Tell whether the connection is open and idle."""
         return self._transport is not None and self._waiter is None
 
-    async def call(self, request: bytes, timeout: timedelta) -> HttpReply:
+    async def call(self, request: bytes, timeout: timedelta) -> ClientResponse:
         """Return the response to `request`.
 
         Raise TimeoutError if no bytes arrive for `timeout` or the response takes more
@@ -60,9 +60,9 @@
         complete = False
         try:
             self._transport.write(request)
-            reply = await waiter
+            response = await waiter
             complete = True
-            return reply
+            return response
         finally:
             if self._timer is not None:
                 self._timer.cancel()
@@ -145,12 +145,14 @@
         if status < 200:
             self._headers.clear()
             return
-        reply = HttpReply(status, tuple(self._headers), b"".join(self._body_parts))
+        response = ClientResponse(
+            status, tuple(self._headers), b"".join(self._body_parts)
+        )
         keep_alive = self._parser.should_keep_alive()
         self._reset()
         self._keep_alive = keep_alive
         if self._waiter is not None and not self._waiter.done():
-            self._waiter.set_result(reply)
+            self._waiter.set_result(response)
 
 
 __all__ = ["ClientConnection"]
--- a/src/brasstray/http/reply.py
+++ b/src/brasstray/http/client_response.py
@@ -6,7 +6,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class HttpReply:
+class ClientResponse:
     """Hold the status, the headers as received, and the complete body."""
 
     status: int
@@ -18,4 +18,4 @@
         return next((v for k, v in self.headers if k.lower() == name), None)
 
 
-__all__ = ["HttpReply"]
+__all__ = ["ClientResponse"]
--- a/src/brasstray/http/connections.py
+++ b/src/brasstray/http/http_connection_pool.py
@@ -13,7 +13,7 @@
     from collections.abc import Sequence
     from datetime import timedelta
 
-    from brasstray.http.reply import HttpReply
+    from brasstray.http.client_response import ClientResponse
 
 CONNECT_TIMEOUT_SECONDS = 1.0
 DEFAULT_MAX_IDLE = 16
@@ -22,7 +22,7 @@
 USER_TIMEOUT_MS = 2_000
 
 
-class Connections:
+class HttpConnectionPool:
     """Call one address over HTTP/1.1.
 
     Each call in progress has a connection to itself, which shows whether any byte of
@@ -42,7 +42,7 @@
         content: bytes,
         timeout: timedelta,
         headers: Sequence[tuple[bytes, bytes]] = (),
-    ) -> HttpReply:
+    ) -> ClientResponse:
         """Send a request and return the response.
 
         Raise TimeoutError or an HttpCallError if there is no complete response.
@@ -57,12 +57,12 @@
         connection = self._take_idle()
         if connection is None:
             connection = await self._connect(timeout)
-        reply = await connection.call(request, timeout)
+        response = await connection.call(request, timeout)
         if connection.usable and len(self._idle) < self._max_idle:
             self._idle.append(connection)
         else:
             connection.close()
-        return reply
+        return response
 
     async def aclose(self) -> None:
         """Close every idle connection."""
@@ -94,4 +94,4 @@
         return connection
 
 
-__all__ = ["Connections"]
+__all__ = ["HttpConnectionPool"]
--- a/src/brasstray/minion/http.py
+++ b/src/brasstray/minion/http.py
@@ -5,8 +5,8 @@
 import json
 from typing import TYPE_CHECKING
 
-from brasstray.http.connections import Connections
 from brasstray.http.errors import HttpCallError, NotConnectedError
+from brasstray.http.http_connection_pool import HttpConnectionPool
 from brasstray.minion.errors import RetryReason, TaskMayHaveRunError, TaskNotRunError
 
 if TYPE_CHECKING:
@@ -14,7 +14,7 @@
 
     from pydantic import JsonValue
 
-    from brasstray.http.reply import HttpReply
+    from brasstray.http.client_response import ClientResponse
     from brasstray.job.request import TaskRequest
     from brasstray.minion.task_id import TaskId
     from brasstray.store.listed_host import ListedHost
@@ -29,7 +29,7 @@
     """Start tasks over connections that are kept open; each carries one at a time."""
 
     def __init__(self) -> None:
-        self._connections: dict[tuple[str, int], Connections] = {}
+        self._connections: dict[tuple[str, int], HttpConnectionPool] = {}
 
     async def start(
         self,
@@ -42,7 +42,7 @@
         endpoint = (minion.address, minion.port)
         connections = self._connections.get(endpoint)
         if connections is None:
-            connections = self._connections[endpoint] = Connections(*endpoint)
+            connections = self._connections[endpoint] = HttpConnectionPool(*endpoint)
         body = json.dumps({"task": task_id.text(), "payload": task.payload}).encode()
         try:
             response = await connections.call("POST", "/tasks", body, timeout)
@@ -63,7 +63,7 @@
         self._connections.clear()
 
 
-def _parse_result(response: HttpReply) -> JsonValue:
+def _parse_result(response: ClientResponse) -> JsonValue:
     if response.status == _OK:
         try:
             result: JsonValue = json.loads(response.content)["result"]
--- a/src/brasstray/platform/minion_client.py
+++ b/src/brasstray/platform/minion_client.py
@@ -4,8 +4,8 @@
 
 from typing import TYPE_CHECKING
 
-from brasstray.http.connections import Connections
 from brasstray.http.errors import HttpCallError
+from brasstray.http.http_connection_pool import HttpConnectionPool
 from brasstray.platform.body import UnreadableBodyError
 from brasstray.platform.minion_bodies import (
     HoldBody,
@@ -28,7 +28,7 @@
 
     from brasstray.batch.ids import FencingToken, RunNumber
     from brasstray.batch.task_name import TaskName
-    from brasstray.http.reply import HttpReply
+    from brasstray.http.client_response import ClientResponse
     from brasstray.job.ids import MinionId
     from brasstray.platform.body import Body
     from brasstray.pool.minion_entry import MinionEntry
@@ -48,7 +48,7 @@
     """Call minions over a pool of connections to each."""
 
     def __init__(self) -> None:
-        self._connections: dict[MinionId, Connections] = {}
+        self._connections: dict[MinionId, HttpConnectionPool] = {}
 
     async def hold(
         self,
@@ -131,10 +131,10 @@
 
     async def _call(
         self, minion: MinionEntry, target: str, body: Body, timeout: timedelta
-    ) -> HttpReply:
+    ) -> ClientResponse:
         connections = self._connections.get(minion.id)
         if connections is None:
-            connections = Connections(minion.host, minion.port, IDLE_CONNECTIONS)
+            connections = HttpConnectionPool(minion.host, minion.port, IDLE_CONNECTIONS)
             self._connections[minion.id] = connections
         headers = [(b"X-Target-Instance", str(minion.id).encode())]
         try:
@@ -150,7 +150,7 @@
         return response
 
 
-def _reply(response: HttpReply) -> Reply:
+def _reply(response: ClientResponse) -> Reply:
     try:
         return Reply.decode(response.content)
     except UnreadableBodyError as error:
--- a/src/brasstray/platform/store_client.py
+++ b/src/brasstray/platform/store_client.py
@@ -6,8 +6,8 @@
 from typing import TYPE_CHECKING, TypeVar
 from urllib.parse import urlencode
 
-from brasstray.http.connections import Connections
 from brasstray.http.errors import HttpCallError
+from brasstray.http.http_connection_pool import HttpConnectionPool
 from brasstray.platform.body import UnreadableBodyError
 from brasstray.platform.store_bodies import (
     Item,
@@ -25,7 +25,7 @@
 from brasstray.store.watchable_store import Snapshot
 
 if TYPE_CHECKING:
-    from brasstray.http.reply import HttpReply
+    from brasstray.http.client_response import ClientResponse
     from brasstray.platform.body import Body
     from brasstray.store.entry import StoreEntry
     from brasstray.store.watchable_store import Changes
@@ -45,11 +45,11 @@
     """Read, write and watch keys; raise StoreUnavailableError without a response."""
 
     def __init__(self, address: str, port: int) -> None:
-        self._connections = Connections(address, port, IDLE_CONNECTIONS)
+        self._connections = HttpConnectionPool(address, port, IDLE_CONNECTIONS)
 
     def set_address(self, address: str, port: int) -> None:
         """Send all further calls to another address."""
-        self._connections = Connections(address, port, IDLE_CONNECTIONS)
+        self._connections = HttpConnectionPool(address, port, IDLE_CONNECTIONS)
 
     async def get(self, name: str) -> StoreEntry | None:
         """Return the entry called `name`, if there is one."""
@@ -121,7 +121,7 @@
         target: str,
         content: bytes = b"",
         timeout: timedelta = CALL_TIMEOUT,
-    ) -> HttpReply:
+    ) -> ClientResponse:
         operation = f"{method} {target.partition('?')[0]}"
         try:
             response = await self._connections.call(method, target, content, timeout)
@@ -136,7 +136,7 @@
         return response
 
 
-def _decode(body_type: type[_B], response: HttpReply) -> _B:
+def _decode(body_type: type[_B], response: ClientResponse) -> _B:
     if response.status != 200:
         raise StoreUnavailableError(f"status {response.status}")
     try:
--- a/tests/http/test_connections.py
+++ b/tests/http/test_http_connection_pool.py
@@ -7,8 +7,8 @@
 
 import pytest
 
-from brasstray.http.connections import Connections
 from brasstray.http.errors import ConnectionLostError, NotConnectedError
+from brasstray.http.http_connection_pool import HttpConnectionPool
 
 OK = b"HTTP/1.1 200 OK\r\ncontent-length: 2\r\n\r\n{}"
 CLOSING = b"HTTP/1.1 200 OK\r\nconnection: close\r\ncontent-length: 2\r\n\r\n{}"
@@ -48,7 +48,7 @@
         loop = asyncio.get_running_loop()
         server = await loop.create_server(CountingServer, "127.0.0.1", 0)
         port = server.sockets[0].getsockname()[1]
-        connections = Connections("127.0.0.1", port)
+        connections = HttpConnectionPool("127.0.0.1", port)
         results = []
         for _ in range(count):
             try:
@@ -90,7 +90,7 @@
         port = listener.sockets[0].getsockname()[1]
         listener.close()
         await listener.wait_closed()
-        await Connections("127.0.0.1", port).call("GET", "/", b"", LONG)
+        await HttpConnectionPool("127.0.0.1", port).call("GET", "/", b"", LONG)
 
     with pytest.raises(NotConnectedError):
         asyncio.run(main())
