--- a/src/brasstray/entry/forwarder.py
+++ b/src/brasstray/entry/forwarder.py
@@ -8,9 +8,9 @@
 import anyio
 
 from brasstray.entry.errors import JournalUnreachableError
-from brasstray.job.answer import Answer, may_have_run, not_yet_known
+from brasstray.job.answer import Answer, may_have_run_answer, not_yet_known_answer
 from brasstray.job.incarnation import host_of
-from brasstray.job.key import MintedKey, home_of
+from brasstray.job.key import MintedKey, home_data_centre
 from brasstray.job.outcome import Outcome
 from brasstray.job.reason import Reason
 from brasstray.peer.errors import PeerError, PeerNotReachedError
@@ -145,14 +145,14 @@
         # contradict it, nothing final is returned until the key expires.
         if reply.in_doubt:
             return self._not_yet_known(job, Reason.JOURNAL_IN_DOUBT)
-        return may_have_run(job.key, Reason.EXECUTOR_FENCED, task_count)
+        return may_have_run_answer(job.key, Reason.EXECUTOR_FENCED, task_count)
 
     async def to_home(self, key: Key, message: JobMessage, wait: timedelta) -> Answer:
         """Return the answer of a host in the key's home data centre.
 
         The executor of a minted key is tried first.
         """
-        hosts = self._membership.listed_in(home_of(key))
+        hosts = self._membership.listed_in(home_data_centre(key))
         self._random.shuffle(hosts)
         if isinstance(key, MintedKey) and host_of(key.executor) in hosts:
             hosts.remove(host_of(key.executor))
@@ -192,7 +192,7 @@
         raise PeerError(f"unexpected reply from {host}")
 
     def _not_yet_known(self, job: JobId, reason: Reason) -> Answer:
-        return not_yet_known(job.key, reason, self._config.timing.retry_after_ms)
+        return not_yet_known_answer(job.key, reason, self._config.timing.retry_after_ms)
 
 
 __all__ = ["Forwarder"]
--- a/src/brasstray/entry/job_runner.py
+++ b/src/brasstray/entry/job_runner.py
@@ -10,7 +10,12 @@
 from brasstray.dispatch.job_run import JobRun
 from brasstray.dispatch.retry_budget import RetryBudget
 from brasstray.entry.errors import JournalUnreachableError
-from brasstray.job.answer import Answer, may_have_run, not_yet_known, refused
+from brasstray.job.answer import (
+    Answer,
+    may_have_run_answer,
+    not_yet_known_answer,
+    refused_answer,
+)
 from brasstray.job.reason import Reason
 from brasstray.journal.records import JobAnswered
 from brasstray.peer.messages import RecordAnswer
@@ -105,7 +110,7 @@
         answer = await run.answer(wait)
         if answer is not None:
             return answer
-        return not_yet_known(
+        return not_yet_known_answer(
             run.job.key, Reason.RUNNING, self._config.timing.retry_after_ms
         )
 
@@ -113,12 +118,12 @@
         self, job: JobId, expires: datetime, request: JobRequest
     ) -> Answer | None:
         if self._executions.may_have_forgotten(expires):
-            return may_have_run(job.key, Reason.KEY_EXPIRED, len(request.tasks))
+            return may_have_run_answer(job.key, Reason.KEY_EXPIRED, len(request.tasks))
         if self._draining:
-            return refused(job.key, Reason.DRAINING, "ask another entry host")
+            return refused_answer(job.key, Reason.DRAINING, "ask another entry host")
         if self._executions.unanswered >= self._config.max_jobs:
             detail = f"{self._config.max_jobs} jobs run here"
-            answer = refused(job.key, Reason.OVERLOADED, detail)
+            answer = refused_answer(job.key, Reason.OVERLOADED, detail)
             retry_after_ms = self._config.timing.retry_after_ms
             return answer.model_copy(update={"retry_after_ms": retry_after_ms})
         return None
@@ -167,9 +172,13 @@
                 # This host was presumed dead and fenced, but still runs. Other hosts
                 # answer "failed" since then, and the journal accepts no later answer.
                 # So this host must answer the same, or one job has two answers.
-                return may_have_run(run.job.key, Reason.EXECUTOR_FENCED, run.task_count)
+                return may_have_run_answer(
+                    run.job.key, Reason.EXECUTOR_FENCED, run.task_count
+                )
             if reply.forgotten:
-                return may_have_run(run.job.key, Reason.KEY_EXPIRED, run.task_count)
+                return may_have_run_answer(
+                    run.job.key, Reason.KEY_EXPIRED, run.task_count
+                )
             await self._dependencies.clock.sleep(
                 self._config.timing.journal_retry_interval
             )
@@ -178,7 +187,7 @@
 def key_conflict(job: JobId) -> Answer:
     """Return the refusal of a key that was used before with other content."""
     detail = "the key was used with other content; this content was not run"
-    return refused(job.key, Reason.KEY_CONFLICT, detail)
+    return refused_answer(job.key, Reason.KEY_CONFLICT, detail)
 
 
 __all__ = ["JobRunner", "key_conflict"]
--- a/src/brasstray/entry/job_service.py
+++ b/src/brasstray/entry/job_service.py
@@ -9,14 +9,19 @@
 
 from brasstray.entry.errors import JournalUnreachableError
 from brasstray.entry.job_runner import key_conflict
-from brasstray.job.answer import Answer, may_have_run, not_yet_known, refused
+from brasstray.job.answer import (
+    Answer,
+    may_have_run_answer,
+    not_yet_known_answer,
+    refused_answer,
+)
 from brasstray.job.job_id import JobId
 from brasstray.job.key import (
     KEY_HELP,
+    CallerKey,
     Key,
     MintedKey,
-    OwnKey,
-    home_of,
+    home_data_centre,
     mint_key,
     parse_key,
 )
@@ -87,7 +92,7 @@
         if key_text is None:
             if not request.repeatable:
                 detail = f"a job that may not be repeated needs a key: {KEY_HELP}"
-                return refused(None, Reason.KEY_REQUIRED, detail)
+                return refused_answer(None, Reason.KEY_REQUIRED, detail)
             key_text = self.mint().text()
         match parse_key(key_text):
             case Ok(key):
@@ -102,16 +107,18 @@
                 )
                 return await self._submit(key, submit, wait)
             case Err(detail):
-                return refused(None, Reason.BAD_REQUEST, f"key: {detail}")
+                return refused_answer(None, Reason.BAD_REQUEST, f"key: {detail}")
 
     def _check_request(self, request: JobRequest) -> Answer | None:
         service = self._config.services.get(request.service)
         if service is None:
             known = ", ".join(sorted(self._config.services))
-            return refused(None, Reason.UNKNOWN_SERVICE, f"services are: {known}")
+            return refused_answer(
+                None, Reason.UNKNOWN_SERVICE, f"services are: {known}"
+            )
         if request.repeatable and not self._table_row(request).repeatable:
             detail = f"jobs of {service.name} may not be marked repeatable"
-            return refused(None, Reason.BAD_REQUEST, detail)
+            return refused_answer(None, Reason.BAD_REQUEST, detail)
         return None
 
     def _table_row(self, request: JobRequest) -> TableRow:
@@ -125,20 +132,22 @@
         time_left = key.expires - self._clock.now()
         if time_left <= timedelta(0):
             # Expired keys are forgotten, so a job with this key may have run before.
-            return may_have_run(key.text(), Reason.KEY_EXPIRED, len(request.tasks))
+            return may_have_run_answer(
+                key.text(), Reason.KEY_EXPIRED, len(request.tasks)
+            )
         max_lifetime = self._config.timing.journal.key_lifetime
         if time_left > max_lifetime:
             detail = f"a key may expire at most {max_lifetime} from now"
-            return refused(key.text(), Reason.KEY_TOO_LONG_LIVED, detail)
-        if home_of(key) not in self._config.data_centres:
+            return refused_answer(key.text(), Reason.KEY_TOO_LONG_LIVED, detail)
+        if home_data_centre(key) not in self._config.data_centres:
             known = ", ".join(self._config.data_centres)
             detail = f"key: home data centres are: {known}"
-            return refused(key.text(), Reason.BAD_REQUEST, detail)
+            return refused_answer(key.text(), Reason.BAD_REQUEST, detail)
         return None
 
     async def _submit(self, key: Key, submit: Submit, wait: timedelta) -> Answer:
         job, request = submit.job, submit.request
-        if home_of(key) != self._config.data_centre:
+        if home_data_centre(key) != self._config.data_centre:
             return await self._forwarder.to_home(key, submit, wait)
         rejection = _check_table_limits(self._table_row(request), request)
         if isinstance(key, MintedKey):
@@ -165,7 +174,7 @@
         return await self._forwarder.to_executor(key, executor, submit, wait, count)
 
     async def _bind(
-        self, job: JobId, key: OwnKey, request: JobRequest
+        self, job: JobId, key: CallerKey, request: JobRequest
     ) -> KeyBound | Answer:
         wanted = KeyBound(
             job=job,
@@ -179,7 +188,7 @@
         except JournalUnreachableError:
             return self._not_yet_known(job.key, Reason.JOURNAL_UNAVAILABLE)
         if reply.forgotten:
-            return may_have_run(job.key, Reason.KEY_EXPIRED, len(request.tasks))
+            return may_have_run_answer(job.key, Reason.KEY_EXPIRED, len(request.tasks))
         if reply.bound is None:
             return self._not_yet_known(job.key, Reason.JOURNAL_IN_DOUBT)
         if reply.bound.digest == wanted.digest and reply.fenced:
@@ -196,7 +205,7 @@
                 fetch = Fetch(job=job, wait_ms=wait // _MILLISECOND, hops=hops + 1)
                 return await self._fetch_or_cancel(key, fetch, wait)
             case Err(detail):
-                return refused(None, Reason.BAD_REQUEST, f"key: {detail}")
+                return refused_answer(None, Reason.BAD_REQUEST, f"key: {detail}")
 
     async def cancel(self, caller: CallerName, key_text: str, hops: int = 0) -> Answer:
         """Stop starting the job's tasks and return its answer."""
@@ -206,13 +215,13 @@
                 wait = self._config.timing.journal_timeout
                 return await self._fetch_or_cancel(key, cancel, wait)
             case Err(detail):
-                return refused(None, Reason.BAD_REQUEST, f"key: {detail}")
+                return refused_answer(None, Reason.BAD_REQUEST, f"key: {detail}")
 
     async def _fetch_or_cancel(
         self, key: Key, message: Fetch | Cancel, wait: timedelta
     ) -> Answer:
         job = message.job
-        if home_of(key) != self._config.data_centre:
+        if home_data_centre(key) != self._config.data_centre:
             return await self._forwarder.to_home(key, message, wait)
         run = self._runner.find(job)
         if run is not None:
@@ -220,7 +229,7 @@
                 run.cancel()
             return await self._runner.wait_for(run, wait)
         if key.expires <= self._clock.now():
-            return may_have_run(job.key, Reason.KEY_EXPIRED, 0)
+            return may_have_run_answer(job.key, Reason.KEY_EXPIRED, 0)
         lookup = await self._executor_of(key, job)
         if isinstance(lookup, Answer):
             return lookup
@@ -239,26 +248,26 @@
         except JournalUnreachableError:
             return self._not_yet_known(job.key, Reason.JOURNAL_UNAVAILABLE)
         if reply.forgotten:
-            return may_have_run(job.key, Reason.KEY_EXPIRED, 0)
+            return may_have_run_answer(job.key, Reason.KEY_EXPIRED, 0)
         if reply.bound is not None:
             return reply.bound.executor, reply.bound.task_count
         reason = Reason.JOURNAL_IN_DOUBT if reply.in_doubt else Reason.UNKNOWN_KEY
         return self._not_yet_known(job.key, reason)
 
     def _not_yet_known(self, key: KeyText | None, reason: Reason) -> Answer:
-        return not_yet_known(key, reason, self._config.timing.retry_after_ms)
+        return not_yet_known_answer(key, reason, self._config.timing.retry_after_ms)
 
 
 def _check_table_limits(row: TableRow, request: JobRequest) -> Answer | None:
     row_name = f"{row.service}, {row.period}"
     if not row.open:
-        return refused(None, Reason.SERVICE_CLOSED, f"{row_name} is closed")
+        return refused_answer(None, Reason.SERVICE_CLOSED, f"{row_name} is closed")
     if len(request.tasks) > row.max_tasks:
         detail = f"a job of {row_name} has at most {row.max_tasks} tasks"
-        return refused(None, Reason.LIMIT, detail)
+        return refused_answer(None, Reason.LIMIT, detail)
     if request.deadline_ms > row.max_deadline_ms:
         detail = f"a deadline of {row_name} is at most {row.max_deadline_ms} ms"
-        return refused(None, Reason.LIMIT, detail)
+        return refused_answer(None, Reason.LIMIT, detail)
     return None
 
 
--- a/src/brasstray/http/caller_app.py
+++ b/src/brasstray/http/caller_app.py
@@ -18,7 +18,7 @@
 )
 from brasstray.http.status_page import status_page
 from brasstray.http.table_endpoints import TableEndpoints
-from brasstray.job.answer import Answer, refused
+from brasstray.job.answer import Answer, refused_answer
 from brasstray.job.ids import CallerName
 from brasstray.job.outcome import Outcome
 from brasstray.job.reason import Reason
@@ -68,13 +68,15 @@
         body = await read_body(receive, MAX_BODY_BYTES)
         if body is None:
             detail = f"a body has at most {MAX_BODY_BYTES} bytes"
-            return self._to_response(refused(None, Reason.TOO_LARGE, detail))
+            return self._to_response(refused_answer(None, Reason.TOO_LARGE, detail))
         caller = header(scope, IDENTITY_HEADER)
         if caller is None or not _CALLER_PATTERN.fullmatch(caller):
             detail = (
                 f"{IDENTITY_HEADER} must name the caller, as {_CALLER_PATTERN.pattern}"
             )
-            return self._to_response(refused(None, Reason.IDENTITY_MISSING, detail))
+            return self._to_response(
+                refused_answer(None, Reason.IDENTITY_MISSING, detail)
+            )
         match method, path.removeprefix("/v1/").split("/"):
             case _, ["table", *rest]:
                 return await self._tables.respond(method, "/".join(rest), body)
@@ -96,7 +98,7 @@
         try:
             request = JobRequest.model_validate_json(body)
         except ValidationError as error:
-            return refused(
+            return refused_answer(
                 None, Reason.BAD_REQUEST, format_validation_errors(error.errors())
             )
         key, wait = header(scope, KEY_HEADER), _wait_parameter(scope, DEFAULT_WAIT)
--- a/src/brasstray/job/answer.py
+++ b/src/brasstray/job/answer.py
@@ -35,7 +35,7 @@
     committed: Outcome | None = None
 
     @property
-    def verdict(self) -> tuple[Outcome, str | None]:
+    def final_result(self) -> tuple[Outcome, str | None]:
         """Return the fields that must be equal in all final answers to one job.
 
         An answer whose results are lost still states the committed outcome.
@@ -48,12 +48,14 @@
         return self.model_copy(update={"digest": digest_of(body.encode())})
 
 
-def refused(key: KeyText | None, reason: Reason, detail: str) -> Answer:
+def refused_answer(key: KeyText | None, reason: Reason, detail: str) -> Answer:
     """Return the answer to a submission that is known not to have run."""
     return Answer(key=key, outcome=Outcome.REFUSED, reason=reason, detail=detail)
 
 
-def not_yet_known(key: KeyText | None, reason: Reason, retry_after_ms: int) -> Answer:
+def not_yet_known_answer(
+    key: KeyText | None, reason: Reason, retry_after_ms: int
+) -> Answer:
     """Return the answer when nothing final can be said yet."""
     return Answer(
         key=key,
@@ -63,7 +65,7 @@
     )
 
 
-def may_have_run(key: KeyText, reason: Reason, task_count: int) -> Answer:
+def may_have_run_answer(key: KeyText, reason: Reason, task_count: int) -> Answer:
     """Return a failed answer in which every task may or may not have run."""
     return Answer(
         key=key,
@@ -73,4 +75,10 @@
     ).with_digest()
 
 
-__all__ = ["Answer", "TaskReport", "may_have_run", "not_yet_known", "refused"]
+__all__ = [
+    "Answer",
+    "TaskReport",
+    "may_have_run_answer",
+    "not_yet_known_answer",
+    "refused_answer",
+]
--- a/src/brasstray/job/key.py
+++ b/src/brasstray/job/key.py
@@ -27,7 +27,7 @@
 
 
 @dataclass(frozen=True)
-class OwnKey:
+class CallerKey:
     """Hold a key made by a caller; its home's journal binds it to one executor."""
 
     expires: datetime
@@ -54,7 +54,7 @@
         )
 
 
-Key = OwnKey | MintedKey
+Key = CallerKey | MintedKey
 
 
 def parse_key(text: str) -> Result[Key, str]:
@@ -68,18 +68,18 @@
     except ValueError:
         return Err(f"{expiry} is not a time; {KEY_HELP}")
     if kind == "own":
-        return Ok(OwnKey(expires, DataCentreName(location), name))
+        return Ok(CallerKey(expires, DataCentreName(location), name))
     if location.count(".") != 2:
         return Err(f"{location} does not name an entry host; {KEY_HELP}")
     return Ok(MintedKey(expires, IncarnationId(location), name))
 
 
-def home_of(key: Key) -> DataCentreName:
+def home_data_centre(key: Key) -> DataCentreName:
     """Return the data centre whose hosts are responsible for `key`."""
     match key:
         case MintedKey():
             return data_centre_of(key.executor)
-        case OwnKey():
+        case CallerKey():
             return key.home
 
 
@@ -91,4 +91,12 @@
     return MintedKey(expires, executor, f"{random.getrandbits(SERIAL_BITS):024x}")
 
 
-__all__ = ["KEY_HELP", "Key", "MintedKey", "OwnKey", "home_of", "mint_key", "parse_key"]
+__all__ = [
+    "CallerKey",
+    "KEY_HELP",
+    "Key",
+    "MintedKey",
+    "home_data_centre",
+    "mint_key",
+    "parse_key",
+]
--- a/src/brasstray_standins/demo.py
+++ b/src/brasstray_standins/demo.py
@@ -13,7 +13,7 @@
 from brasstray.clock.loop import LoopClock
 from brasstray.job.ids import CallerName, DataCentreName, KeyText
 from brasstray.job.job_id import JobId
-from brasstray.job.key import OwnKey
+from brasstray.job.key import CallerKey
 from brasstray.job.outcome import Outcome
 from brasstray.job.request import JobRequest
 from brasstray.job.task_state import TaskState
@@ -69,7 +69,7 @@
     expires = (datetime.now(UTC) + KEY_LIFETIME).replace(microsecond=0)
     for number, job in enumerate(jobs):
         name = f"demo-{number}"
-        job.key = OwnKey(expires, DataCentreName(job.home), name).text()
+        job.key = CallerKey(expires, DataCentreName(job.home), name).text()
         job.body = (examples / f"{job.file}.json").read_bytes()
     return jobs
 
@@ -176,7 +176,7 @@
         broken.append(f"{job.name}: no final answer, but {first.outcome.value}")
     if not request.repeatable and any(count > 1 for count in starts.values()):
         broken.append(f"{job.name}: a task started twice")
-    if any(answer.verdict != first.verdict for answer in job.answers):
+    if any(answer.final_result != first.final_result for answer in job.answers):
         broken.append(f"{job.name}: two answers to one job")
     done = [task.state is TaskState.DONE for task in first.tasks]
     if first.outcome is Outcome.COMPLETE and not (
--- a/src/brasstray_standins/memory_system.py
+++ b/src/brasstray_standins/memory_system.py
@@ -18,7 +18,7 @@
 from brasstray.entry.timing import EntryTiming
 from brasstray.job.ids import CallerName, DataCentreName, HostName, ServiceName
 from brasstray.job.incarnation import new_incarnation
-from brasstray.job.key import OwnKey
+from brasstray.job.key import CallerKey
 from brasstray.job.request import JobRequest
 from brasstray.metrics.metrics import ReadableMetrics
 from brasstray.store.errors import StoreUnavailableError
@@ -240,7 +240,7 @@
     def key(self, name: str, centre: int = 0) -> str:
         """Return a key chosen by the caller, whose home is the given data centre."""
         expires = (self.clock.now() + timedelta(hours=2)).replace(microsecond=0)
-        return OwnKey(expires, self.data_centres[centre], name).text()
+        return CallerKey(expires, self.data_centres[centre], name).text()
 
     async def submit(
         self, host: EntryHost, key: str | None, request: JobRequest, wait: float = 60
--- a/tests/client/test_client.py
+++ b/tests/client/test_client.py
@@ -12,15 +12,15 @@
 from brasstray.clock.loop import LoopClock
 from brasstray.http.exchange import HttpResponse, read_body
 from brasstray.http.server import HttpServer, listen
-from brasstray.job.answer import Answer, not_yet_known, refused
+from brasstray.job.answer import Answer, not_yet_known_answer, refused_answer
 from brasstray.job.ids import CallerName, KeyText
 from brasstray.job.outcome import Outcome
 from brasstray.job.reason import Reason
 
 KEY = KeyText("own~20261231T090000Z~dc-0~a")
-PENDING = not_yet_known(KEY, Reason.RUNNING, 1)
+PENDING = not_yet_known_answer(KEY, Reason.RUNNING, 1)
 COMPLETE = Answer(key=KEY, outcome=Outcome.COMPLETE).with_digest()
-REFUSED = refused(None, Reason.BAD_REQUEST, "body: Invalid JSON")
+REFUSED = refused_answer(None, Reason.BAD_REQUEST, "body: Invalid JSON")
 TIMEOUT = timedelta(seconds=30)
 
 
--- a/tests/entry/test_differential.py
+++ b/tests/entry/test_differential.py
@@ -176,11 +176,11 @@
 
     answers, starts = play(scenario, SystemSize(hosts_each=HOSTS))
     assert all(n == 1 for counts in starts.values() for n in counts.values())
-    verdicts = {}
+    final_results = {}
     for submission, answer in answers:
         if not answer.outcome.final:
             continue
-        verdict = verdicts.setdefault(submission.job, answer.verdict)
-        assert answer.verdict == verdict, (submission, answer)
+        final_result = final_results.setdefault(submission.job, answer.final_result)
+        assert answer.final_result == final_result, (submission, answer)
         if answer.outcome is Outcome.COMPLETE:
             assert len(starts[submission.job]) == len(answer.tasks)
--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -287,7 +287,7 @@
 def check_same(script):
     finals = script.play.finals
     assert finals
-    assert {answer.verdict for answer in finals} == {finals[0].verdict}
+    assert {answer.final_result for answer in finals} == {finals[0].final_result}
 
 
 @then("no final answer is told")
