--- a/src/brasstray/command/main.py
+++ b/src/brasstray/command/main.py
@@ -26,7 +26,7 @@
 from brasstray.command.render import answer_lines
 from brasstray.command.table import table_app
 from brasstray.command.trace import trace
-from brasstray.settings.check import settings_problems
+from brasstray.settings.check import validate_settings_file
 
 if TYPE_CHECKING:
     from brasstray.client.client import Client
@@ -140,7 +140,7 @@
     as_json: Json = False,
 ) -> None:
     """Report every invalid line of a settings file of either daemon."""
-    result = settings_problems(file)
+    result = validate_settings_file(file)
     if as_json:
         typer.echo(json.dumps(result.as_json()))
     elif not result.problems:
--- a/src/brasstray/host/ownership.py
+++ b/src/brasstray/host/ownership.py
@@ -252,7 +252,7 @@
         value = msgspec.json.encode(record)
         expected = ABSENT if owned is None else int(owned.token)
         try:
-            version = await self._store.swap(key, value, expected)
+            version = await self._store.compare_and_swap(key, value, expected)
         except StoreConflictError:
             self._events.pool_claim_failed(self._pool, "claimed by another host")
             await self.refresh()
--- a/src/brasstray/journal/journal.py
+++ b/src/brasstray/journal/journal.py
@@ -38,7 +38,7 @@
         """
         value = cbor2.dumps(segment.model_dump(mode="json"))
         try:
-            await self._store.swap(self._name(index), value, ABSENT)
+            await self._store.compare_and_swap(self._name(index), value, ABSENT)
         except StoreConflictError:
             return await self._resolve_conflict(index, segment)
         except StoreUnavailableError as error:
@@ -96,7 +96,7 @@
         """Rewrite the lease entry, so that its version changes."""
         version = await self.lease_version()
         try:
-            await self._store.swap(self._lease_name, b"", version)
+            await self._store.compare_and_swap(self._lease_name, b"", version)
         except (StoreConflictError, StoreUnavailableError) as error:
             raise JournalUnavailableError(str(error)) from error
 
--- a/src/brasstray/platform/store_client.py
+++ b/src/brasstray/platform/store_client.py
@@ -59,7 +59,7 @@
             return None
         return _decode(Item, response).to_entry()
 
-    async def swap(self, name: str, value: bytes, expected: int) -> int:
+    async def compare_and_swap(self, name: str, value: bytes, expected: int) -> int:
         """Write `value` if the revision is `expected`, and return the new revision.
 
         Raises StoreConflictError if the revision is another.
--- a/src/brasstray/settings/check.py
+++ b/src/brasstray/settings/check.py
@@ -45,7 +45,7 @@
         }
 
 
-def settings_problems(path: Path) -> SettingsReport:
+def validate_settings_file(path: Path) -> SettingsReport:
     """Validate a file; the names of its sections tell which daemon it is for."""
     if _is_for_pool_host(path):
         return _report(DaemonKind.POOL_HOST, read_pool_settings(path))
@@ -74,4 +74,4 @@
             return SettingsReport(daemon, tuple(problems))
 
 
-__all__ = ["DaemonKind", "SettingsReport", "settings_problems"]
+__all__ = ["DaemonKind", "SettingsReport", "validate_settings_file"]
--- a/src/brasstray/store/http_platform.py
+++ b/src/brasstray/store/http_platform.py
@@ -40,7 +40,7 @@
             return None
         return StoreEntry(name, response.content, _parse_version(response))
 
-    async def swap(self, name: str, value: bytes, expected: int) -> int:
+    async def compare_and_swap(self, name: str, value: bytes, expected: int) -> int:
         """Write `value` if the version is `expected`; return the new version."""
         target = f"/kv/{name}?{urlencode({'expected': expected})}"
         response = await self._request("PUT", target, value)
--- a/src/brasstray/store/store.py
+++ b/src/brasstray/store/store.py
@@ -16,7 +16,7 @@
     async def get(self, name: str) -> StoreEntry | None:
         """Return the entry called `name`, if there is one."""
 
-    async def swap(self, name: str, value: bytes, expected: int) -> int:
+    async def compare_and_swap(self, name: str, value: bytes, expected: int) -> int:
         """Write `value` if the entry's version is `expected`; return the new version.
 
         ABSENT expects that there is no entry. Raise StoreConflictError if the version
--- a/src/brasstray/table/table_store.py
+++ b/src/brasstray/table/table_store.py
@@ -46,7 +46,7 @@
         """
         value = proposed.model_dump_json().encode()
         try:
-            await self._store.swap(_name(proposed.version), value, ABSENT)
+            await self._store.compare_and_swap(_name(proposed.version), value, ABSENT)
         except StoreUnavailableError as error:
             raise TableUnavailableError(str(error)) from error
         except StoreConflictError:
--- a/src/brasstray_standins/kv_app.py
+++ b/src/brasstray_standins/kv_app.py
@@ -87,7 +87,7 @@
         ):
             value = b64decode(write["Value"])
             try:
-                revision = await self._store.swap(
+                revision = await self._store.compare_and_swap(
                     write["Key"], value, expected["Revision"]
                 )
             except StoreConflictError:
--- a/src/brasstray_standins/memory_platform.py
+++ b/src/brasstray_standins/memory_platform.py
@@ -86,7 +86,7 @@
         await self._begin_call()
         return self._entries.get(name)
 
-    async def swap(
+    async def compare_and_swap(
         self, name: str, value: bytes, expected: int, lease: int | None = None
     ) -> int:
         """Write `value` if the version is `expected`; return the new version."""
--- a/src/brasstray_standins/memory_store.py
+++ b/src/brasstray_standins/memory_store.py
@@ -74,7 +74,7 @@
         found = [e for n, e in sorted(self._entries.items()) if n.startswith(prefix)]
         return tuple(found)
 
-    async def swap(self, name: str, value: bytes, expected: int) -> int:
+    async def compare_and_swap(self, name: str, value: bytes, expected: int) -> int:
         """Write if the current version is `expected`; return the new version."""
         found = self._entries.get(name)
         if (found.version if found else 0) != expected:
@@ -124,10 +124,10 @@
         await self._begin_call()
         return next((e for e in self._store.entries(name) if e.name == name), None)
 
-    async def swap(self, name: str, value: bytes, expected: int) -> int:
+    async def compare_and_swap(self, name: str, value: bytes, expected: int) -> int:
         """Write if the current version is `expected`; return the new version."""
         await self._begin_call()
-        return await self._store.swap(name, value, expected)
+        return await self._store.compare_and_swap(name, value, expected)
 
     async def scan(self, prefix: str, after: str = "") -> list[StoreEntry]:
         """Return the entries under `prefix` whose names follow `after`."""
--- a/src/brasstray_standins/platform_app.py
+++ b/src/brasstray_standins/platform_app.py
@@ -79,7 +79,9 @@
                 return _versioned(entry.version, entry.value)
             case "PUT":
                 expected = int(query(scope, "expected") or 0)
-                return _versioned(await self._platform.swap(name, body, expected))
+                return _versioned(
+                    await self._platform.compare_and_swap(name, body, expected)
+                )
             case "DELETE":
                 await self._platform.delete(name)
                 return HttpResponse(200)
--- a/tests/settings/test_check.py
+++ b/tests/settings/test_check.py
@@ -9,7 +9,7 @@
 from typer.testing import CliRunner
 
 from brasstray.command.main import app
-from brasstray.settings.check import DaemonKind, settings_problems
+from brasstray.settings.check import DaemonKind, validate_settings_file
 
 VALID_POOL_HOST = {
     "host": {
@@ -61,7 +61,7 @@
     ],
 )
 def test_each_problem_is_reported(tmp_path, sections, daemon, wrong):
-    found = settings_problems(write(tmp_path / "a.ini", sections))
+    found = validate_settings_file(write(tmp_path / "a.ini", sections))
     assert found.daemon is daemon
     assert [(p.section, p.key) for p in found.problems] == wrong
 
@@ -70,7 +70,7 @@
 def test_a_file_without_settings_is_reported(tmp_path, text):
     path = tmp_path / "a.ini"
     path.write_bytes(text.encode("latin-1"))
-    assert settings_problems(path).problems
+    assert validate_settings_file(path).problems
 
 
 @pytest.mark.parametrize(
