--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -29,7 +29,7 @@
 
 if TYPE_CHECKING:
     from brasstray.entry.config import EntryConfig
-    from brasstray.entry.surroundings import Surroundings
+    from brasstray.entry.entry_host_dependencies import EntryHostDependencies
     from brasstray.job.ids import IncarnationId
     from brasstray.metrics.metrics import Metrics
     from brasstray.peer.messages import Message
@@ -41,7 +41,9 @@
     All external interfaces are injected. No state outlives the process.
     """
 
-    def __init__(self, config: EntryConfig, dependencies: Surroundings) -> None:
+    def __init__(
+        self, config: EntryConfig, dependencies: EntryHostDependencies
+    ) -> None:
         self._config = config
         self._clock = clock = dependencies.clock
         self._metrics = dependencies.metrics
@@ -181,7 +183,7 @@
         self._draining = True
         self._runner.drain()
         self._heartbeats.drain()
-        deadline = self._clock.monotonic() + self._config.timing.drain_limit
+        deadline = self._clock.monotonic() + self._config.timing.drain_timeout
         while self._executions.unanswered and self._clock.monotonic() < deadline:
             log_message("brasstray:draining", jobs=self._executions.unanswered)
             await self._clock.sleep(self._config.timing.heartbeat)
--- a/src/brasstray_standins/memory_system.py
+++ b/src/brasstray_standins/memory_system.py
@@ -13,12 +13,12 @@
 from brasstray.dispatch.policies import ShortestRemainingFirst, SlotCredits
 from brasstray.entry.config import EntryConfig
 from brasstray.entry.entry_host import EntryHost
+from brasstray.entry.entry_host_dependencies import EntryHostDependencies
 from brasstray.entry.service import Service
-from brasstray.entry.surroundings import Surroundings
 from brasstray.entry.timing import EntryTiming
 from brasstray.job.ids import CallerName, DataCentreName, HostName, ServiceName
 from brasstray.job.incarnation import new_incarnation
-from brasstray.job.key import OwnKey
+from brasstray.job.key import CallerKey
 from brasstray.job.request import JobRequest
 from brasstray.metrics.metrics import ReadableMetrics
 from brasstray.store.errors import StoreUnavailableError
@@ -150,7 +150,7 @@
         )
         gate = self._gates[name] = Gate()
         platform = GatedProxy(_PlatformView(self, name), gate)
-        around = Surroundings(
+        dependencies = EntryHostDependencies(
             GatedClock(self.clock, gate),
             random,
             platform,
@@ -159,7 +159,7 @@
             GatedProxy(self.starts, gate),
             self.counts.metrics(name),
         )
-        host = EntryHost(config, around)
+        host = EntryHost(config, dependencies)
         self.hosts[name] = host
         self._scopes[name] = anyio.CancelScope()
         self._group.start_soon(self._run, host, self._scopes[name])
@@ -240,7 +240,7 @@
     def key(self, name: str, centre: int = 0) -> str:
         """Return a key chosen by the caller, whose home is the given data centre."""
         expires = (self.clock.now() + timedelta(hours=2)).replace(microsecond=0)
-        return OwnKey(expires, self.data_centres[centre], name).text()
+        return CallerKey(expires, self.data_centres[centre], name).text()
 
     async def submit(
         self, host: EntryHost, key: str | None, request: JobRequest, wait: float = 60
--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -289,7 +289,7 @@
 def check_same(script):
     final_answers = script.context.final_answers
     assert final_answers
-    assert {answer.verdict for answer in final_answers} == {final_answers[0].verdict}
+    assert {answer.final_result for answer in final_answers} == {final_answers[0].final_result}
 
 
 @then("no final answer is reported")
