--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -289,7 +289,9 @@
 def check_same(script):
     final_answers = script.context.final_answers
     assert final_answers
-    assert {answer.final_result for answer in final_answers} == {final_answers[0].final_result}
+    assert {answer.final_result for answer in final_answers} == {
+        final_answers[0].final_result
+    }
 
 
 @then("no final answer is reported")
