--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -16,8 +16,8 @@
 from brasstray.peer.message.stop_tasks import StopTasks
 from brasstray.peer.message.successors import Successors
 from brasstray.peer.message.tasks_returned import TasksReturned
-from brasstray.peer.message_stream import NobodyListensError, StreamClosedError
-from brasstray.peer.pipe import Pipe
+from brasstray.peer.message_channel import MessageChannel
+from brasstray.peer.message_stream import HostNotListeningError, StreamClosedError
 
 if TYPE_CHECKING:
     from collections.abc import Callable, Iterator
@@ -87,7 +87,7 @@
         self._queued: list[RunTasks] = []
         self._last_request_at = clock.monotonic()
         self._failed_at: timedelta | None = None
-        self._pipe: Pipe | None = None
+        self._channel: MessageChannel | None = None
         self._tasks_sent_early: set[TaskName] = set()
         self._closed_as_idle = False
         self._is_successor = True
@@ -124,19 +124,19 @@
         match message:
             case RunTasks():
                 self._send_request(message)
-            case StopTasks() if self._pipe is None:
+            case StopTasks() if self._channel is None:
                 # A request sent after its job has ended would start orphaned runs.
                 self._queued = [r for r in self._queued if r.batch != message.batch]
-            case _ if self._pipe is not None:
-                self._pipe.tell(message)
+            case _ if self._channel is not None:
+                self._channel.tell(message)
 
     def _send_request(self, request: RunTasks) -> None:
         self._last_request_at = self._clock.monotonic()
         self._wake.set()
         if self._pool_state is None:
             self._tasks_sent_early.update(_tasks_of(request))
-        if self._pipe is not None:
-            self._pipe.tell(request)
+        if self._channel is not None:
+            self._channel.tell(request)
         elif not request.claimed:
             self._queued.append(request)
 
@@ -162,7 +162,7 @@
         owner = self._owned.owner
         try:
             stream = await self._opener.open(owner.address, owner.port)
-        except NobodyListensError:
+        except HostNotListeningError:
             self._mark_unreachable(
                 "connection refused: no process listens", OwnerState.GONE
             )
@@ -172,11 +172,11 @@
             self._return_unsent()
             return
         self._is_successor = True
-        pipe = self._pipe = Pipe(
+        channel = self._channel = MessageChannel(
             stream, self._timing.owner_silence_timeout, self._handle_message
         )
         reason = "stopped"
-        pipe.tell(
+        channel.tell(
             Hello(
                 host=self._identity.host,
                 incarnation=self._identity.incarnation,
@@ -187,17 +187,17 @@
         )
         requests = self.take_queued_requests()
         for request in requests:
-            pipe.tell(request)
+            channel.tell(request)
         self._tasks_sent_early = {
             task for request in requests for task in _tasks_of(request)
         }
         try:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._ping, pipe, group.cancel_scope)
-                reason = await pipe.run()
+                group.start_soon(self._ping, channel, group.cancel_scope)
+                reason = await channel.run()
                 group.cancel_scope.cancel()
         finally:
-            self._pipe = None
+            self._channel = None
             if self._closed_as_idle:
                 self._reset_after_idle()
             else:
@@ -240,7 +240,7 @@
         self._owner_state = OwnerState.EXPECTED
         self._wake = anyio.Event()
 
-    async def _ping(self, pipe: Pipe, scope: anyio.CancelScope) -> None:
+    async def _ping(self, channel: MessageChannel, scope: anyio.CancelScope) -> None:
         while True:
             frequent = self._is_successor or self._has_tasks(self._pool)
             timing = self._timing
@@ -252,7 +252,7 @@
             if self._is_idle():
                 self._closed_as_idle = True
                 scope.cancel()
-            pipe.tell(
+            channel.tell(
                 Ping(
                     config_version=self._knowledge.config.version,
                     evacuations=self._knowledge.evacuations.current,
@@ -267,10 +267,10 @@
     def _handle_message(self, message: PoolMessage) -> None:
         if isinstance(message, PoolState):
             self._update_state(message)
-        elif isinstance(message, Successors) and self._pipe is not None:
+        elif isinstance(message, Successors) and self._channel is not None:
             self._is_successor = self._identity.host in message.hosts
             timing = self._timing
-            self._pipe.allow_silence(
+            self._channel.set_silence_timeout(
                 timing.owner_silence_timeout
                 if self._is_successor
                 else timing.slow_owner_silence_timeout
--- a/src/brasstray/host/requester_link.py
+++ b/src/brasstray/host/requester_link.py
@@ -7,7 +7,7 @@
 import anyio
 
 from brasstray.job.incarnation import data_centre_of
-from brasstray.peer.pipe import Pipe
+from brasstray.peer.message_channel import MessageChannel
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -36,7 +36,9 @@
         self._timing = timing
         self._state = state
         self._on_message = on_message
-        self._pipe = Pipe(stream, timing.pool.requester_silence, self._handle_message)
+        self._channel = MessageChannel(
+            stream, timing.pool.requester_silence, self._handle_message
+        )
         self._name = "unknown"
         self._data_centre: DataCentreName | None = None
         self._power = 0.0
@@ -73,15 +75,15 @@
 
     def tell(self, message: PoolMessage) -> None:
         """Send `message`, or drop it if the host is unreachable."""
-        self._pipe.tell(message)
+        self._channel.tell(message)
 
     def tell_later(self, message: PoolMessage) -> None:
         """Send `message` along with the next one, or else with the next heartbeat."""
-        self._pipe.tell_later(message)
+        self._channel.tell_later(message)
 
     def send_state(self) -> None:
         """Send which pool this host owns, and its load; this is the heartbeat."""
-        self._pipe.tell(self._state())
+        self._channel.tell(self._state())
 
     def _handle_message(self, message: PoolMessage) -> None:
         self._on_message(self, message)
@@ -90,7 +92,7 @@
         """Serve until the connection ends; return the reason."""
         async with anyio.create_task_group() as group:
             group.start_soon(self._send_states)
-            reason = await self._pipe.run()
+            reason = await self._channel.run()
             group.cancel_scope.cancel()
         return reason
 
--- a/src/brasstray/peer/pipe.py
+++ b/src/brasstray/peer/message_channel.py
@@ -20,7 +20,7 @@
 MAX_QUEUED_MESSAGES = 20_000
 
 
-class Pipe:
+class MessageChannel:
     """Run one connection, sending all queued messages in one frame.
 
     The connection is closed if nothing is received for `silence_timeout`, or once too
@@ -45,7 +45,7 @@
         """Return whether messages are still sent."""
         return self._open
 
-    def allow_silence(self, silence_timeout: timedelta) -> None:
+    def set_silence_timeout(self, silence_timeout: timedelta) -> None:
         """Change the silence timeout, starting with the next message received."""
         self._silence_timeout = silence_timeout
 
@@ -101,4 +101,4 @@
             return
 
 
-__all__ = ["Pipe"]
+__all__ = ["MessageChannel"]
--- a/src/brasstray/peer/message_stream.py
+++ b/src/brasstray/peer/message_stream.py
@@ -12,7 +12,7 @@
     """The connection is closed, or could not be opened."""
 
 
-class NobodyListensError(StreamClosedError):
+class HostNotListeningError(StreamClosedError):
     """The host refused the connection: no process listens on the port."""
 
 
@@ -36,4 +36,9 @@
         """Connect; raise StreamClosedError on failure or timeout."""
 
 
-__all__ = ["MessageStream", "NobodyListensError", "StreamClosedError", "StreamOpener"]
+__all__ = [
+    "HostNotListeningError",
+    "MessageStream",
+    "StreamClosedError",
+    "StreamOpener",
+]
--- a/src/brasstray/peer/websocket_stream.py
+++ b/src/brasstray/peer/websocket_stream.py
@@ -10,7 +10,7 @@
 from websockets.exceptions import ConnectionClosed, InvalidHandshake
 
 from brasstray.peer.errors import UnreadableMessageError
-from brasstray.peer.message_stream import NobodyListensError, StreamClosedError
+from brasstray.peer.message_stream import HostNotListeningError, StreamClosedError
 from brasstray.peer.pool_messages import decode_frame, encode_frame
 
 if TYPE_CHECKING:
@@ -68,7 +68,7 @@
                 proxy=None,
             )
         except ConnectionRefusedError as error:
-            raise NobodyListensError(repr(error)) from error
+            raise HostNotListeningError(repr(error)) from error
         except (
             OSError,
             InvalidHandshake,
--- a/src/brasstray_standins/memory_streams.py
+++ b/src/brasstray_standins/memory_streams.py
@@ -8,7 +8,7 @@
 
 import anyio
 
-from brasstray.peer.message_stream import NobodyListensError, StreamClosedError
+from brasstray.peer.message_stream import HostNotListeningError, StreamClosedError
 from brasstray.peer.pool_messages import decode_frame, encode_frame
 from brasstray_standins.rate_limited_link import RateLimitedLink
 
@@ -159,7 +159,7 @@
             await self._clock.sleep(OPEN_TIMEOUT)
             raise StreamClosedError("the connection timed out")
         if host is None:
-            raise NobodyListensError("refused")
+            raise HostNotListeningError("refused")
         to_remote, from_local = anyio.create_memory_object_stream[bytes](math.inf)
         to_local, from_remote = anyio.create_memory_object_stream[bytes](math.inf)
         local = MemoryStream(
