--- a/src/brasstray/batch/configuration.py
+++ b/src/brasstray/batch/configuration.py
@@ -31,7 +31,7 @@
     text: bytes = b""
     services: frozenset[ServiceName] = frozenset()
 
-    def knows(self, service: ServiceName) -> bool:
+    def has_service(self, service: ServiceName) -> bool:
         """Tell whether this version lists `service` or has a queue for it."""
         named = service in self.services
         return named or any(queue.service == service for queue in self.queues)
--- a/src/brasstray/host/minion_feed.py
+++ b/src/brasstray/host/minion_feed.py
@@ -40,28 +40,31 @@
         self._clock = clock
         self._timing = timing
         self._events = events
-        self._held: tuple[MinionEntry, ...] | None = None
+        self._last_known_minions: tuple[MinionEntry, ...] | None = None
 
     @property
-    def held(self) -> tuple[MinionEntry, ...] | None:
+    def last_known_minions(self) -> tuple[MinionEntry, ...] | None:
         """Return the minions that the pool's last owner held; None if unknown."""
-        return self._held
+        return self._last_known_minions
 
-    def hear(self, minions: tuple[MinionEntry, ...]) -> None:
+    def record_minions(self, minions: tuple[MinionEntry, ...]) -> None:
         """Record the minions that another host holds as the owner of the pool."""
-        self._held = minions
+        self._last_known_minions = minions
 
-    def tell(self, link: RequesterLink) -> None:
+    def send_minions(self, link: RequesterLink) -> None:
         """Send the minions of the pool to a host that may take the pool over."""
-        if link.data_centre == self._data_centre and self._held is not None:
-            link.tell(PoolMinions(minions=self._held))
+        if (
+            link.data_centre == self._data_centre
+            and self._last_known_minions is not None
+        ):
+            link.tell(PoolMinions(minions=self._last_known_minions))
 
-    async def follow(self, owner: PoolOwner) -> None:
+    async def poll(self, owner: PoolOwner) -> None:
         """Poll the list for `owner` until cancelled."""
         while True:
             try:
                 listed = await self._list.minions(self._data_centre)
-                owner.list_minions(self._filter_known_services(listed))
+                owner.update_minions(self._filter_known_services(listed))
                 self._publish_changes(owner)
                 self._events.store_back("minions")
             except StoreUnavailableError as error:
@@ -75,7 +78,7 @@
             return listed
         known = []
         for entry in listed:
-            if config.knows(entry.service):
+            if config.has_service(entry.service):
                 known.append(entry)
             else:
                 self._events.entry_ignored(entry.id, f"service {entry.service!r}")
@@ -83,9 +86,9 @@
 
     def _publish_changes(self, owner: PoolOwner) -> None:
         held = tuple(minion.entry for minion in owner.minions)
-        if held != self._held:
-            self._held = held
-            self._links.tell_own_centre(PoolMinions(minions=held))
+        if held != self._last_known_minions:
+            self._last_known_minions = held
+            self._links.send_to_data_centre(PoolMinions(minions=held))
 
 
 __all__ = ["MinionFeed"]
--- a/src/brasstray/host/operator_knowledge.py
+++ b/src/brasstray/host/operator_state.py
@@ -27,7 +27,7 @@
     from brasstray.peer.pool_messages import PoolMessage
 
 
-class OperatorKnowledge:
+class OperatorState:
     """Keep the configuration and the evacuations up to date with store and peers."""
 
     def __init__(
@@ -61,7 +61,7 @@
             group.start_soon(self._feed.follow)
             group.start_soon(self._exchange.run)
 
-    def hear(
+    def handle_heartbeat(
         self,
         host: str,
         message: Hello | Ping | PoolState,
@@ -71,7 +71,7 @@
         self._evacuations.adopt(message.evacuations, host)
         self._exchange.record_version(host, message.config_version, send)
 
-    def take(
+    def handle_config_message(
         self,
         host: str,
         message: ConfigWanted | ConfigPart,
@@ -81,4 +81,4 @@
         self._exchange.handle_message(host, message, send)
 
 
-__all__ = ["OperatorKnowledge"]
+__all__ = ["OperatorState"]
--- a/src/brasstray/host/pool_directory.py
+++ b/src/brasstray/host/pool_directory.py
@@ -22,7 +22,7 @@
     from brasstray.clock.clock import Clock
     from brasstray.host.host_events import HostEvents
     from brasstray.host.identity import HostIdentity
-    from brasstray.host.operator_knowledge import OperatorKnowledge
+    from brasstray.host.operator_state import OperatorState
     from brasstray.host.owner_record import OwnedPool
     from brasstray.host.timing import HostTiming
     from brasstray.peer.message.run_tasks import RunTasks
@@ -40,13 +40,13 @@
         clock: Clock,
         timing: HostTiming,
         events: HostEvents,
-        knowledge: OperatorKnowledge,
+        operator_state: OperatorState,
         on_message: Callable[[PoolId, PoolMessage], None],
         on_reachable: Callable[[PoolId, frozenset[TaskName]], None],
         has_tasks: Callable[[PoolId], bool],
     ) -> None:
         self._identity = identity
-        self._evacuations = knowledge.evacuations
+        self._evacuations = operator_state.evacuations
         self._clock = clock
         self._new_link = partial(
             PoolLink,
@@ -55,7 +55,7 @@
             clock=clock,
             timing=timing,
             events=events,
-            knowledge=knowledge,
+            operator_state=operator_state,
             on_message=on_message,
             on_reachable=on_reachable,
             keep_open=self._keeps_open,
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -14,7 +14,7 @@
 from brasstray.host.load_notifier import LoadNotifier
 from brasstray.host.local_requester import LocalRequester
 from brasstray.host.minion_feed import MinionFeed
-from brasstray.host.operator_knowledge import OperatorKnowledge
+from brasstray.host.operator_state import OperatorState
 from brasstray.host.ownership import Ownership
 from brasstray.host.pool_directory import PoolDirectory
 from brasstray.host.pool_handover import PoolHandover
@@ -72,16 +72,16 @@
         self._remote_factor = remote_factor
         self._clock = clock = outside.clock
         self._events = events = outside.events
-        self._knowledge = OperatorKnowledge(
+        self._operator_state = OperatorState(
             outside.operators, data_centres, clock, timing, events
         )
-        self._evacuations = self._knowledge.evacuations
+        self._evacuations = self._operator_state.evacuations
         self._pool = PoolId(str(identity.data_centre))
         self._requesters = RequesterLinks(identity.data_centre)
         self._minion_feed = MinionFeed(
             identity.data_centre,
             outside.minion_list,
-            self._knowledge.config,
+            self._operator_state.config,
             self._requesters,
             clock,
             timing,
@@ -93,7 +93,7 @@
             clock,
             timing,
             events,
-            self._knowledge,
+            self._operator_state,
             self.handle_pool_message,
             lambda pool, sent: self._coordinator.claim(pool, sent),
             lambda pool: self._coordinator.has_tasks_at(pool),
@@ -153,7 +153,7 @@
     @property
     def config(self) -> CurrentConfig:
         """Return the configuration in force on this host."""
-        return self._knowledge.config
+        return self._operator_state.config
 
     @property
     def evacuations(self) -> Evacuations:
@@ -221,7 +221,7 @@
         async with anyio.create_task_group() as group:
             self._group = group
             self._directory.use_task_group(group)
-            group.start_soon(self._knowledge.run)
+            group.start_soon(self._operator_state.run)
             group.start_soon(self._follow_evacuations)
             group.start_soon(self._ownership.follow)
             group.start_soon(self._ownership.claim_when_vacant)
@@ -304,7 +304,7 @@
             self._directory,
             self._events,
             lambda: self._ownership.confirm(owned),
-            self._minion_feed.held,
+            self._minion_feed.last_known_minions,
             lambda: self._evacuations.covers(self._pool),
         )
         self._events.pool_taken(self._pool, owned.token, "claimed")
@@ -318,7 +318,7 @@
     async def _run_owner(self, owner: PoolOwner, scope: anyio.CancelScope) -> None:
         with scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._minion_feed.follow, owner)
+                group.start_soon(self._minion_feed.poll, owner)
                 await owner.run()
                 group.cancel_scope.cancel()
         if owner is self._owner and owner.deposed:
@@ -391,7 +391,7 @@
             await self._clock.sleep(self._timing.pool.requester_silence)
         self._events.requester_lost(link.name, reason)
         if self._owner is not None:
-            self._owner.lose_requester(link)
+            self._owner.drop_requester(link)
 
     def _handle_request(self, link: RequesterLink, message: PoolMessage) -> None:
         match message:
@@ -399,13 +399,15 @@
                 link.record_hello(message)
                 self._events.requester_up(link.name)
                 if self._owner is not None:
-                    self._minion_feed.tell(link)
+                    self._minion_feed.send_minions(link)
                     self._requesters.announce_successors()
-                self._knowledge.hear(link.name, message, link.tell)
+                self._operator_state.handle_heartbeat(link.name, message, link.tell)
             case Ping():
-                self._knowledge.hear(link.name, message, link.tell)
+                self._operator_state.handle_heartbeat(link.name, message, link.tell)
             case ConfigWanted() | ConfigPart():
-                self._knowledge.take(link.name, message, link.tell)
+                self._operator_state.handle_config_message(
+                    link.name, message, link.tell
+                )
             case RunTasks():
                 if self._owner is not None:
                     self._owner.run_tasks(link, message)
@@ -435,14 +437,14 @@
                 if message.free_slots and self._owner is not None:
                     self._owner.review()
                 tell = partial(self._directory.tell, pool)
-                self._knowledge.hear(str(pool), message, tell)
+                self._operator_state.handle_heartbeat(str(pool), message, tell)
             case Successors() if pool == self._pool:
                 self._succession.set_successors(message.hosts)
             case PoolMinions() if pool == self._pool:
-                self._minion_feed.hear(message.minions)
+                self._minion_feed.record_minions(message.minions)
             case ConfigWanted() | ConfigPart():
                 tell = partial(self._directory.tell, pool)
-                self._knowledge.take(str(pool), message, tell)
+                self._operator_state.handle_config_message(str(pool), message, tell)
 
     def _is_active(self) -> bool:
         return self._owner is not None or self._coordinator.active > 0
--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -26,7 +26,7 @@
     from brasstray.clock.clock import Clock
     from brasstray.host.host_events import HostEvents
     from brasstray.host.identity import HostIdentity
-    from brasstray.host.operator_knowledge import OperatorKnowledge
+    from brasstray.host.operator_state import OperatorState
     from brasstray.host.owner_record import OwnedPool
     from brasstray.host.timing import HostTiming
     from brasstray.peer.message_stream import StreamOpener
@@ -63,7 +63,7 @@
         clock: Clock,
         timing: HostTiming,
         events: HostEvents,
-        knowledge: OperatorKnowledge,
+        operator_state: OperatorState,
         on_message: Callable[[PoolId, PoolMessage], None],
         on_reachable: Callable[[PoolId, frozenset[TaskName]], None],
         keep_open: Callable[[PoolId], bool],
@@ -77,7 +77,7 @@
         self._clock = clock
         self._timing = timing
         self._events = events
-        self._knowledge = knowledge
+        self._operator_state = operator_state
         self._on_message = on_message
         self._on_reachable = on_reachable
         self._keep_open = keep_open
@@ -180,8 +180,8 @@
             Hello(
                 host=self._identity.host,
                 incarnation=self._identity.incarnation,
-                config_version=self._knowledge.config.version,
-                evacuations=self._knowledge.evacuations.current,
+                config_version=self._operator_state.config.version,
+                evacuations=self._operator_state.evacuations.current,
                 power=self._identity.power,
             )
         )
@@ -254,8 +254,8 @@
                 scope.cancel()
             channel.tell(
                 Ping(
-                    config_version=self._knowledge.config.version,
-                    evacuations=self._knowledge.evacuations.current,
+                    config_version=self._operator_state.config.version,
+                    evacuations=self._operator_state.evacuations.current,
                 )
             )
 
--- a/src/brasstray/host/requester_links.py
+++ b/src/brasstray/host/requester_links.py
@@ -45,7 +45,7 @@
             if include(link.name):
                 link.send_state()
 
-    def tell_own_centre(self, message: PoolMessage) -> None:
+    def send_to_data_centre(self, message: PoolMessage) -> None:
         """Send `message` to the requesters in the data centre of this host."""
         for link in self._local_links():
             link.tell(message)
@@ -56,7 +56,7 @@
         Hosts that are not successors get heartbeats at the slow interval.
         """
         message = Successors(hosts=rank_successors(self.powers))
-        self.tell_own_centre(message)
+        self.send_to_data_centre(message)
         for link in self._local_links():
             link.set_heartbeat_rate(link.name in message.hosts)
 
--- a/src/brasstray/pool/owner.py
+++ b/src/brasstray/pool/owner.py
@@ -179,7 +179,7 @@
 
     # Membership
 
-    def list_minions(self, entries: Iterable[MinionEntry]) -> None:
+    def update_minions(self, entries: Iterable[MinionEntry]) -> None:
         """Update the minions from the store's list for this pool."""
         self._roster.update(entries)
         self._recovery.record_listed()
@@ -273,7 +273,7 @@
                 self._drop(step, "not_wanted")
         self.dispatch()
 
-    def lose_requester(self, requester: Requester) -> None:
+    def drop_requester(self, requester: Requester) -> None:
         """Drop the tasks of a requester that has been silent for too long."""
         for step in self._tasks.steps:
             if step.requester is requester:
--- a/tests/host/test_pool_failures.py
+++ b/tests/host/test_pool_failures.py
@@ -570,7 +570,7 @@
             owner.calls.cut.update(m for m, p in system.places.items() if p.running)
             for link in owner.host.links:
                 if link.name == name:
-                    owner.host.owner.lose_requester(link)
+                    owner.host.owner.drop_requester(link)
             system.hosts[name].host.coordinator.claim(owner.host.owner.pool)
 
     _, system = play_pools(scenario)
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -174,5 +174,5 @@
     text = {"Version": 1, "Services": [{"Name": "s"}, {"Name": "t"}]}
     found = parse_configuration(json.dumps(text).encode())
     assert isinstance(found, Configuration)
-    assert found.knows("t")
-    assert not found.knows("u")
+    assert found.has_service("t")
+    assert not found.has_service("u")
--- a/tests/pool/takeover.py
+++ b/tests/pool/takeover.py
@@ -160,7 +160,7 @@
     async def list_all_minions(self, owner):
         """Give a running owner the complete list of minions."""
         await self.clock.sleep(timedelta(milliseconds=1))
-        owner.list_minions(self.entries)
+        owner.update_minions(self.entries)
 
     def where(self, task=TASK):
         """Return the minion on which `task` runs."""
--- a/tests/pool/test_late_starts.py
+++ b/tests/pool/test_late_starts.py
@@ -18,7 +18,7 @@
     """Give `owner` the list `entries` twice a second for `duration`."""
     end = pool.clock.monotonic() + duration
     while pool.clock.monotonic() < end:
-        owner.list_minions(entries)
+        owner.update_minions(entries)
         await pool.clock.sleep(ms(500))
 
 
--- a/tests/pool/test_takeover.py
+++ b/tests/pool/test_takeover.py
@@ -206,7 +206,7 @@
 
     async def list_after(pool, owner, milliseconds):
         await pool.clock.sleep(ms(milliseconds))
-        owner.list_minions(pool.entries)
+        owner.update_minions(pool.entries)
 
     _, (before, after) = run_takeover(scenario, 2)
     assert before == {TASK}
@@ -226,14 +226,14 @@
         stand_in = await start_on_last_minion(pool, owner)
         listed = [entry for entry in pool.entries if entry.id != stand_in.entry.id]
         for seconds in range(8):
-            owner.list_minions(listed)
+            owner.update_minions(listed)
             await pool.clock.sleep(ms(500))
             if seconds == 7:
                 calls.cut.add(stand_in.entry.id)
         await pool.clock.sleep(ms(560))
-        owner.list_minions(listed)
+        owner.update_minions(listed)
         await pool.clock.sleep(SECOND)
-        owner.list_minions(listed)
+        owner.update_minions(listed)
         await pool.clock.sleep(ms(100))
         return [minion.entry.id for minion in owner.minions]
 
