--- a/src/brasstray/coordinator/coordinator.py
+++ b/src/brasstray/coordinator/coordinator.py
@@ -152,8 +152,12 @@
             )
         # All hosts of a data centre lose their owner at the same time. Hashing the id
         # of the job distributes their jobs over the other pools.
-        unasked = sorted(p for p in self._pools.unasked() if not evacuated(p))
-        return unasked[crc32(batch.encode()) % len(unasked)] if unasked else None
+        connectable = sorted(p for p in self._pools.connectable() if not evacuated(p))
+        return (
+            connectable[crc32(batch.encode()) % len(connectable)]
+            if connectable
+            else None
+        )
 
     def _send_ready_steps(self, active: ActiveBatch, pool: PoolId) -> None:
         for step_number, step in enumerate(active.batch.steps):
@@ -203,7 +207,7 @@
             claimed=claimed,
             begun=active.begun,
         )
-        self._pools.tell(pool, message)
+        self._pools.send(pool, message)
 
     # Messages from owners
 
@@ -250,7 +254,7 @@
             self._send(active, message.step, indices, target, forwarded=True)
 
     def _is_known(self, pool: PoolId) -> bool:
-        return pool in self._pools.reachable() or pool in self._pools.unasked()
+        return pool in self._pools.reachable() or pool in self._pools.connectable()
 
     def _evacuate(
         self,
@@ -375,7 +379,7 @@
         active.result = result
         self._active.pop(active.batch.id, None)
         for pool in sorted(set(active.placed.values())):
-            self._pools.tell(pool, StopTasks(batch=active.batch.id))
+            self._pools.send(pool, StopTasks(batch=active.batch.id))
         took = self._clock.monotonic() - active.arrived
         self._events.answered(active, result, took)
         active.ended.set()
--- a/src/brasstray/coordinator/pools.py
+++ b/src/brasstray/coordinator/pools.py
@@ -16,7 +16,7 @@
     def reachable(self) -> dict[PoolId, PoolLoad]:
         """Return the pools whose owners are reachable, with their load."""
 
-    def unasked(self) -> list[PoolId]:
+    def connectable(self) -> list[PoolId]:
         """Return the pools that are not reachable yet, but accept requests."""
 
     def is_evacuated(self, pool: PoolId) -> bool:
@@ -25,7 +25,7 @@
     def all_evacuated(self) -> bool:
         """Return whether every known pool is evacuated, and at least one is known."""
 
-    def tell(self, pool: PoolId, message: PoolMessage) -> None:
+    def send(self, pool: PoolId, message: PoolMessage) -> None:
         """Send `message` to the owner of `pool`; drop it if it cannot be delivered."""
 
 
--- a/src/brasstray/host/host_status.py
+++ b/src/brasstray/host/host_status.py
@@ -98,7 +98,7 @@
 def host_status(host: PoolHost) -> HostStatus:
     """Return the status of `host` as it is known without asking the store."""
     owner = host.owner
-    unlinked = host.unasked
+    unlinked = host.connectable
     return HostStatus(
         host=host.identity.host,
         incarnation=host.identity.incarnation,
--- a/src/brasstray/host/local_requester.py
+++ b/src/brasstray/host/local_requester.py
@@ -20,11 +20,11 @@
         self.name = str(host)
         self._on_message = on_message
 
-    def tell(self, message: PoolMessage) -> None:
+    def send(self, message: PoolMessage) -> None:
         """Deliver `message` immediately."""
         self._on_message(message)
 
-    def tell_later(self, message: PoolMessage) -> None:
+    def send_deferred(self, message: PoolMessage) -> None:
         """Deliver `message` immediately: batching saves nothing within a process."""
         self._on_message(message)
 
--- a/src/brasstray/host/minion_feed.py
+++ b/src/brasstray/host/minion_feed.py
@@ -57,7 +57,7 @@
             link.data_centre == self._data_centre
             and self._last_known_minions is not None
         ):
-            link.tell(PoolMinions(minions=self._last_known_minions))
+            link.send(PoolMinions(minions=self._last_known_minions))
 
     async def poll(self, owner: PoolOwner) -> None:
         """Poll the list for `owner` until cancelled."""
--- a/src/brasstray/host/pool_directory.py
+++ b/src/brasstray/host/pool_directory.py
@@ -119,7 +119,7 @@
         assert self._group is not None
         link = self._links[pool] = self._new_link(pool, owned)
         for request in unsent:
-            link.tell(request)
+            link.send(request)
         self._group.start_soon(link.run)
 
     def _notify_change(self) -> None:
@@ -149,11 +149,11 @@
     def set_local_pool(
         self,
         pool: PoolId,
-        tell: Callable[[PoolMessage], None],
+        send: Callable[[PoolMessage], None],
         load: Callable[[], PoolLoad],
     ) -> None:
-        """Route messages for `pool` to `tell`, as this host owns it now."""
-        self._local_pool, self._send_local, self._local_load = pool, tell, load
+        """Route messages for `pool` to `send`, as this host owns it now."""
+        self._local_pool, self._send_local, self._local_load = pool, send, load
         for link in self._links.values():
             link.request_connection()
 
@@ -170,7 +170,7 @@
             found[self._local_pool] = self._local_load()
         return found
 
-    def unasked(self) -> list[PoolId]:
+    def connectable(self) -> list[PoolId]:
         """Return the pools that are not reachable yet, but accept requests."""
         return [
             pool
@@ -186,12 +186,12 @@
         """Return whether every known pool is evacuated, and at least one is known."""
         return bool(self._owned) and all(map(self.is_evacuated, self._owned))
 
-    def tell(self, pool: PoolId, message: PoolMessage) -> None:
+    def send(self, pool: PoolId, message: PoolMessage) -> None:
         """Send `message` to the owner of `pool`; drop it if it cannot be delivered."""
         if pool == self._local_pool and self._send_local is not None:
             self._send_local(message)
         elif pool in self._links:
-            self._links[pool].tell(message)
+            self._links[pool].send(message)
 
     # Interface to the owner of the local pool (OtherPools)
 
@@ -200,9 +200,9 @@
         loads = self._all_loads()
         return {p: load for p, load in loads.items() if not self.is_evacuated(p)}
 
-    def expected(self) -> bool:
+    def any_connectable(self) -> bool:
         """Return whether a pool that is not evacuated may become reachable soon."""
-        return any(not self.is_evacuated(pool) for pool in self.unasked())
+        return any(not self.is_evacuated(pool) for pool in self.connectable())
 
     def _all_loads(self) -> dict[PoolId, PoolLoad]:
         found = {}
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -192,7 +192,7 @@
         return (
             not self._draining
             and self.config.current is not None
-            and bool(self._directory.reachable() or self._directory.unasked())
+            and bool(self._directory.reachable() or self._directory.connectable())
         )
 
     @property
@@ -206,9 +206,9 @@
         return set(self._directory.reachable())
 
     @property
-    def unasked(self) -> set[PoolId]:
+    def connectable(self) -> set[PoolId]:
         """Return the pools that are not reachable yet, but accept requests."""
-        return set(self._directory.unasked())
+        return set(self._directory.connectable())
 
     @property
     def links(self) -> list[RequesterLink]:
@@ -401,12 +401,12 @@
                 if self._owner is not None:
                     self._minion_feed.send_minions(link)
                     self._requesters.announce_successors()
-                self._operator_state.handle_heartbeat(link.name, message, link.tell)
+                self._operator_state.handle_heartbeat(link.name, message, link.send)
             case Ping():
-                self._operator_state.handle_heartbeat(link.name, message, link.tell)
+                self._operator_state.handle_heartbeat(link.name, message, link.send)
             case ConfigWanted() | ConfigPart():
                 self._operator_state.handle_config_message(
-                    link.name, message, link.tell
+                    link.name, message, link.send
                 )
             case RunTasks():
                 if self._owner is not None:
@@ -436,15 +436,15 @@
                 self._directory.reset_reserved_slots(pool)
                 if message.free_slots and self._owner is not None:
                     self._owner.review()
-                tell = partial(self._directory.tell, pool)
-                self._operator_state.handle_heartbeat(str(pool), message, tell)
+                send = partial(self._directory.send, pool)
+                self._operator_state.handle_heartbeat(str(pool), message, send)
             case Successors() if pool == self._pool:
                 self._succession.set_successors(message.hosts)
             case PoolMinions() if pool == self._pool:
                 self._minion_feed.record_minions(message.minions)
             case ConfigWanted() | ConfigPart():
-                tell = partial(self._directory.tell, pool)
-                self._operator_state.handle_config_message(str(pool), message, tell)
+                send = partial(self._directory.send, pool)
+                self._operator_state.handle_config_message(str(pool), message, send)
 
     def _is_active(self) -> bool:
         return self._owner is not None or self._coordinator.active > 0
--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -119,7 +119,7 @@
         """Return how long ago this host learned of the owner."""
         return now - self._learned_at
 
-    def tell(self, message: PoolMessage) -> None:
+    def send(self, message: PoolMessage) -> None:
         """Send `message`; without a link, queue a new request and drop the rest."""
         match message:
             case RunTasks():
@@ -128,7 +128,7 @@
                 # A request sent after its job has ended would start orphaned runs.
                 self._queued = [r for r in self._queued if r.batch != message.batch]
             case _ if self._channel is not None:
-                self._channel.tell(message)
+                self._channel.send(message)
 
     def _send_request(self, request: RunTasks) -> None:
         self._last_request_at = self._clock.monotonic()
@@ -136,7 +136,7 @@
         if self._pool_state is None:
             self._tasks_sent_early.update(_tasks_of(request))
         if self._channel is not None:
-            self._channel.tell(request)
+            self._channel.send(request)
         elif not request.claimed:
             self._queued.append(request)
 
@@ -176,7 +176,7 @@
             stream, self._timing.owner_silence_timeout, self._handle_message
         )
         reason = "stopped"
-        channel.tell(
+        channel.send(
             Hello(
                 host=self._identity.host,
                 incarnation=self._identity.incarnation,
@@ -187,7 +187,7 @@
         )
         requests = self.take_queued_requests()
         for request in requests:
-            channel.tell(request)
+            channel.send(request)
         self._tasks_sent_early = {
             task for request in requests for task in _tasks_of(request)
         }
@@ -252,7 +252,7 @@
             if self._is_idle():
                 self._closed_as_idle = True
                 scope.cancel()
-            channel.tell(
+            channel.send(
                 Ping(
                     config_version=self._operator_state.config.version,
                     evacuations=self._operator_state.evacuations.current,
--- a/src/brasstray/host/requester_link.py
+++ b/src/brasstray/host/requester_link.py
@@ -73,17 +73,17 @@
             else self._timing.slow_heartbeat_interval
         )
 
-    def tell(self, message: PoolMessage) -> None:
+    def send(self, message: PoolMessage) -> None:
         """Send `message`, or drop it if the host is unreachable."""
-        self._channel.tell(message)
+        self._channel.send(message)
 
-    def tell_later(self, message: PoolMessage) -> None:
+    def send_deferred(self, message: PoolMessage) -> None:
         """Send `message` along with the next one, or else with the next heartbeat."""
-        self._channel.tell_later(message)
+        self._channel.send_deferred(message)
 
     def send_state(self) -> None:
         """Send which pool this host owns, and its load; this is the heartbeat."""
-        self._channel.tell(self._state())
+        self._channel.send(self._state())
 
     def _handle_message(self, message: PoolMessage) -> None:
         self._on_message(self, message)
--- a/src/brasstray/host/requester_links.py
+++ b/src/brasstray/host/requester_links.py
@@ -48,7 +48,7 @@
     def send_to_data_centre(self, message: PoolMessage) -> None:
         """Send `message` to the requesters in the data centre of this host."""
         for link in self._local_links():
-            link.tell(message)
+            link.send(message)
 
     def announce_successors(self) -> None:
         """Announce the order of succession in the data centre of this host.
--- a/src/brasstray/peer/message_channel.py
+++ b/src/brasstray/peer/message_channel.py
@@ -49,13 +49,13 @@
         """Change the silence timeout, starting with the next message received."""
         self._silence_timeout = silence_timeout
 
-    def tell(self, message: PoolMessage) -> None:
+    def send(self, message: PoolMessage) -> None:
         """Queue `message` and send the queue."""
-        self.tell_later(message)
+        self.send_deferred(message)
         self._flush_requested.set()
 
-    def tell_later(self, message: PoolMessage) -> None:
-        """Queue `message`, to be sent together with the next call of `tell`."""
+    def send_deferred(self, message: PoolMessage) -> None:
+        """Queue `message`, to be sent together with the next call of `send`."""
         if not self._open:
             return
         if len(self._queue) >= MAX_QUEUED_MESSAGES:
--- a/src/brasstray/pool/load_sharing.py
+++ b/src/brasstray/pool/load_sharing.py
@@ -101,7 +101,7 @@
             if loads:
                 self._fill_free_slots(step, loads)
                 self._queue_elsewhere(step, loads)
-            elif not self._others.expected() or self._misses_deadline(step, now):
+            elif not self._others.any_connectable() or self._misses_deadline(step, now):
                 self._reject(step, timedelta(0))
 
     def _queue_elsewhere(self, step: StepTasks, loads: dict[PoolId, PoolLoad]) -> None:
@@ -133,7 +133,7 @@
         else:
             self._events.forwarded(step, count, pool)
         indices = tuple(task.name.index for task in tasks)
-        step.requester.tell(
+        step.requester.send(
             TasksReturned(
                 batch=step.batch,
                 step=step.step,
@@ -165,7 +165,7 @@
         step.waiting.clear()
         for index in indices:
             del step.tasks[index]
-        step.requester.tell(
+        step.requester.send(
             TasksReturned(
                 batch=step.batch,
                 step=step.step,
--- a/src/brasstray/pool/other_pools.py
+++ b/src/brasstray/pool/other_pools.py
@@ -18,7 +18,7 @@
     def loads(self) -> dict[PoolId, PoolLoad]:
         """Return the loads by pool."""
 
-    def expected(self) -> bool:
+    def any_connectable(self) -> bool:
         """Return whether a link is being opened that may soon make a pool reachable."""
 
     def reserve_slots(self, pool: PoolId, count: int) -> None:
--- a/src/brasstray/pool/requester.py
+++ b/src/brasstray/pool/requester.py
@@ -11,10 +11,10 @@
 class Requester(Protocol):
     """Receive messages about the tasks that it asked for; never blocks."""
 
-    def tell(self, message: PoolMessage) -> None:
+    def send(self, message: PoolMessage) -> None:
         """Send `message`, in order; drop it if the requester is unreachable."""
 
-    def tell_later(self, message: PoolMessage) -> None:
+    def send_deferred(self, message: PoolMessage) -> None:
         """Send `message` in order, at the latest with the next heartbeat."""
 
 
--- a/src/brasstray/pool/task_registry.py
+++ b/src/brasstray/pool/task_registry.py
@@ -98,16 +98,16 @@
         # The requester cannot act on one end while other ends of the step are due from
         # here, so they share a message.
         if done and step.tasks:
-            step.requester.tell_later(message)
+            step.requester.send_deferred(message)
         else:
-            step.requester.tell(message)
+            step.requester.send(message)
 
     def give_up(self, task: PoolTask) -> None:
         """Return a task that may run on an unreachable minion, its outcome unknown."""
         step, index = task.parent_step, task.name.index
         del step.tasks[index]
         self._events.dropped(step, "outcome_unknown")
-        step.requester.tell(
+        step.requester.send(
             TasksReturned(
                 batch=step.batch, step=step.step, indices=(index,), outcome_unknown=True
             )
--- a/tests/coordinator/test_coordinator.py
+++ b/tests/coordinator/test_coordinator.py
@@ -40,7 +40,7 @@
     def reachable(self):
         return dict(self.loads)
 
-    def unasked(self):
+    def connectable(self):
         return []
 
     def is_evacuated(self, pool):
@@ -49,7 +49,7 @@
     def all_evacuated(self):
         return bool(self.loads) and self.evacuated >= set(self.loads)
 
-    def tell(self, pool, message):
+    def send(self, pool, message):
         self.told.append((pool, message))
 
     def runs(self):
--- a/tests/host/test_pool_failures.py
+++ b/tests/host/test_pool_failures.py
@@ -660,7 +660,7 @@
         self._job = job
         self.messages = []
 
-    def tell(self, message):
+    def send(self, message):
         self.messages.append(message)
 
     def request(self, *, claimed):
--- a/tests/pool/takeover.py
+++ b/tests/pool/takeover.py
@@ -54,10 +54,10 @@
     def __init__(self):
         self.messages = []
 
-    def tell(self, message):
+    def send(self, message):
         self.messages.append(message)
 
-    def tell_later(self, message):
+    def send_deferred(self, message):
         self.messages.append(message)
 
 
--- a/tests/pool/test_takeover_series.py
+++ b/tests/pool/test_takeover_series.py
@@ -40,16 +40,16 @@
     unfinished: set[int] = field(default_factory=lambda: set(range(TASK_COUNT)))
     given_up: bool = False
 
-    def tell(self, message):
+    def send(self, message):
         match message:
             case TasksEnded():
                 self.unfinished -= set(message.done)
             case TasksReturned(outcome_unknown=True):
                 self.given_up = True
 
-    tell_later = tell
+    send_deferred = send
 
-    def send(self, *, claimed):
+    def send_request(self, *, claimed):
         if not self.unfinished or self.given_up:
             return
         full_request = request(claimed=claimed, job=JOB, width=TASK_COUNT)
@@ -61,7 +61,7 @@
         if claimed:
             await self.pool.clock.sleep(ms(self.random.choice((2, 20, 100, 250))))
         self.owner = owner
-        self.send(claimed=claimed)
+        self.send_request(claimed=claimed)
 
     async def send_again(self):
         """Stop a job that was given up, and send it again after the pause."""
@@ -73,7 +73,7 @@
             await self.pool.clock.sleep(RESEND_PAUSE)
             self.given_up = False
             self.unfinished = set(range(TASK_COUNT))
-            self.send(claimed=False)
+            self.send_request(claimed=False)
 
 
 @dataclass
--- a/tests/pool/test_task_registry.py
+++ b/tests/pool/test_task_registry.py
@@ -22,10 +22,10 @@
     def __init__(self):
         self.messages = []
 
-    def tell(self, message):
+    def send(self, message):
         self.messages.append(("now", message.done, message.failed))
 
-    def tell_later(self, message):
+    def send_deferred(self, message):
         self.messages.append(("later", message.done, message.failed))
 
 
