--- a/src/brasstray/host/event_log.py
+++ b/src/brasstray/host/event_log.py
@@ -18,7 +18,7 @@
     from brasstray.job.ids import HostName
     from brasstray.metrics.pool_metrics import PoolMetrics
     from brasstray.pool.errors import StartRefusal
-    from brasstray.pool.lease_reckoning import LeaseReckoning
+    from brasstray.pool.lease_snapshot import LeaseSnapshot
     from brasstray.pool.minion import Minion
     from brasstray.pool.minion_health import Evidence
     from brasstray.pool.pool_task import TaskPhase
@@ -124,7 +124,7 @@
         )
 
     def leases_expired(
-        self, minion: Minion, reckoning: LeaseReckoning, *, certain: bool
+        self, minion: Minion, lease_snapshot: LeaseSnapshot, *, certain: bool
     ) -> None:
         """Record that the leases of all runs on an unreachable minion have expired."""
         self._metrics.count_reason("leases_expired" if certain else "expiry_uncertain")
@@ -134,10 +134,10 @@
             reach=minion.reach.value,
             runs=len(minion.runs),
             certain=certain,
-            asked=reckoning.asked,
-            until_ms=reckoning.until_ms,
-            clock_ms=reckoning.clock_ms,
-            shown_ago_ms=reckoning.shown_ago // _MILLISECOND,
+            asked=lease_snapshot.asked,
+            until_ms=lease_snapshot.until_ms,
+            clock_ms=lease_snapshot.clock_ms,
+            shown_ago_ms=lease_snapshot.clock_age // _MILLISECOND,
         )
 
     def recovered(
--- a/src/brasstray/platform/minion_client.py
+++ b/src/brasstray/platform/minion_client.py
@@ -18,7 +18,7 @@
 from brasstray.pool.errors import (
     FencedError,
     MinionGoneError,
-    MinionSilentError,
+    MinionNoResponseError,
     StartRefusal,
     StartRefusedError,
 )
@@ -34,7 +34,7 @@
     from brasstray.pool.minion_entry import MinionEntry
     from brasstray.pool.probe_reply import ProbeReply
 
-# Enough for the waiting hold call and a burst of starts; further idle connections
+# Enough for the waiting probe and a burst of starts; further idle connections
 # are closed.
 IDLE_CONNECTIONS = 6
 _REFUSAL_BY_REASON = {
@@ -50,7 +50,7 @@
     def __init__(self) -> None:
         self._connections: dict[MinionId, Connections] = {}
 
-    async def hold(
+    async def probe(
         self,
         minion: MinionEntry,
         token: FencingToken,
@@ -71,11 +71,11 @@
         )
         response = await self._call(minion, "/-/hold", body, timeout)
         if response.status != 200:
-            raise MinionSilentError(f"status {response.status}")
+            raise MinionNoResponseError(f"status {response.status}")
         try:
             return HoldReply.decode(response.content).to_probe_reply()
         except (UnreadableBodyError, ValueError, KeyError, IndexError) as error:
-            raise MinionSilentError(f"invalid response body: {error!r}") from error
+            raise MinionNoResponseError(f"invalid response body: {error!r}") from error
 
     async def start(
         self,
@@ -107,7 +107,7 @@
             )
         if response.status == 400:
             raise StartRefusedError(StartRefusal.MALFORMED)
-        raise MinionSilentError(f"status {response.status}")
+        raise MinionNoResponseError(f"status {response.status}")
 
     async def stop(
         self,
@@ -121,9 +121,9 @@
         body = StopBody(task=format_task_name(task), run=run, fencing_token=token)
         response = await self._call(minion, "/-/run-stop", body, timeout)
         if response.status != 200:
-            raise MinionSilentError(f"status {response.status}")
+            raise MinionNoResponseError(f"status {response.status}")
 
-    async def forget(self, minion: MinionEntry) -> None:
+    async def close_connections(self, minion: MinionEntry) -> None:
         """Close the connections to a minion that is no longer listed."""
         connections = self._connections.pop(minion.id, None)
         if connections is not None:
@@ -142,7 +142,7 @@
                 "POST", target, body.encode(), timeout, headers
             )
         except (TimeoutError, HttpCallError) as error:
-            raise MinionSilentError(repr(error)) from error
+            raise MinionNoResponseError(repr(error)) from error
         if response.status == 421:
             raise MinionGoneError(str(minion.id))
         if response.status == 409 and _reply(response).reason == "fence":
@@ -154,7 +154,7 @@
     try:
         return Reply.decode(response.content)
     except UnreadableBodyError as error:
-        raise MinionSilentError(f"invalid response body: {error}") from error
+        raise MinionNoResponseError(f"invalid response body: {error}") from error
 
 
 __all__ = ["MinionClient"]
--- a/src/brasstray/pool/errors.py
+++ b/src/brasstray/pool/errors.py
@@ -19,7 +19,7 @@
     """Base class of the errors of calls to minions."""
 
 
-class MinionSilentError(MinionCallError):
+class MinionNoResponseError(MinionCallError):
     """No response arrived; the call may take effect now or later."""
 
 
@@ -43,7 +43,7 @@
     "FencedError",
     "MinionCallError",
     "MinionGoneError",
-    "MinionSilentError",
+    "MinionNoResponseError",
     "StartRefusal",
     "StartRefusedError",
 ]
--- a/src/brasstray/pool/lease_clock.py
+++ b/src/brasstray/pool/lease_clock.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from brasstray.pool.lease_reckoning import LeaseReckoning
+from brasstray.pool.lease_snapshot import LeaseSnapshot
 
 if TYPE_CHECKING:
     from brasstray.pool.timing import PoolTiming
@@ -93,12 +93,12 @@
         slowest = 1 - self._timing.clock_rate_error
         return max(timedelta(0), remaining / slowest - (now - self._clock_read_at))
 
-    def reckoning(self, now: timedelta) -> LeaseReckoning:
+    def lease_snapshot(self, now: timedelta) -> LeaseSnapshot:
         """Return what is known of the leases at `now`."""
         if self._clock_ms is None:
-            return LeaseReckoning(self._lease_requested, None, None, timedelta(0))
+            return LeaseSnapshot(self._lease_requested, None, None, timedelta(0))
         clock_age = now - self._clock_read_at
-        return LeaseReckoning(
+        return LeaseSnapshot(
             self._lease_requested, self._latest_until_ms, self._clock_ms, clock_age
         )
 
--- a/src/brasstray/pool/lease_reckoning.py
+++ b/src/brasstray/pool/lease_snapshot.py
@@ -10,11 +10,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class LeaseReckoning:
+class LeaseSnapshot:
     """Hold what is known of the leases on a minion at one moment.
 
     `until_ms` is the end of the latest lease that may have been granted, and `clock_ms`
-    the minion's clock in its last response, received `shown_ago` before. Both are times
+    the minion's clock in its last response, received `clock_age` before. Both are times
     on the minion's clock, None before its first response. `asked` is whether this owner
     has requested a lease.
     """
@@ -22,7 +22,7 @@
     asked: bool
     until_ms: int | None
     clock_ms: int | None
-    shown_ago: timedelta
+    clock_age: timedelta
 
 
-__all__ = ["LeaseReckoning"]
+__all__ = ["LeaseSnapshot"]
--- a/src/brasstray/pool/minion_calls.py
+++ b/src/brasstray/pool/minion_calls.py
@@ -19,7 +19,7 @@
     Times called `until_ms` are on the minion's clock, in milliseconds.
     """
 
-    async def hold(
+    async def probe(
         self,
         minion: MinionEntry,
         token: FencingToken,
@@ -55,7 +55,7 @@
     ) -> None:
         """Stop a run, or have its start rejected if that arrives later."""
 
-    async def forget(self, minion: MinionEntry) -> None:
+    async def close_connections(self, minion: MinionEntry) -> None:
         """Close the connections to a minion that is gone."""
 
 
--- a/src/brasstray/pool/minion_session.py
+++ b/src/brasstray/pool/minion_session.py
@@ -10,7 +10,7 @@
 from brasstray.pool.errors import (
     FencedError,
     MinionGoneError,
-    MinionSilentError,
+    MinionNoResponseError,
     StartRefusedError,
 )
 from brasstray.pool.lease_clock import MAX_EFFECT_DELAY, LeaseClock
@@ -104,7 +104,7 @@
             self._owner.depose()
         finally:
             with anyio.CancelScope(shield=True):
-                await self._calls.forget(self._minion.entry)
+                await self._calls.close_connections(self._minion.entry)
 
     def close(self) -> None:
         """Stop probing, as the minion has been removed for good."""
@@ -115,7 +115,7 @@
             try:
                 await self._reconcile()
                 await self._maintain_lease()
-            except MinionSilentError:
+            except MinionNoResponseError:
                 await self._await_expiry()
 
     async def _reconcile(self) -> None:
@@ -137,7 +137,7 @@
         while True:
             try:
                 await self._probe(lease=True, wait=self._hold_wait())
-            except MinionSilentError:
+            except MinionNoResponseError:
                 self._unanswered_at = self._clock.monotonic()
                 await self._probe_again()
 
@@ -163,7 +163,7 @@
         for _ in range(PROBES_BEFORE_UNREACHABLE - 1):
             try:
                 await self._probe(lease=False, wait=_NO_WAIT)
-            except MinionSilentError:
+            except MinionNoResponseError:
                 continue
             return
         await self._probe(lease=False, wait=_NO_WAIT)
@@ -189,7 +189,7 @@
                     await self._probe_throttled()
                 else:
                     await self._probe(lease=False, wait=_NO_WAIT)
-            except MinionSilentError:
+            except MinionNoResponseError:
                 if expired:
                     await self._clock.sleep(pause)
                     pause = min(pause * 2, MAX_PROBE_BACKOFF)
@@ -207,13 +207,13 @@
         """
         answers = self._answer_count
         now = self._clock.monotonic()
-        reckoning = self._lease.reckoning(now)
+        lease_snapshot = self._lease.lease_snapshot(now)
         certain = not self._lease.may_be_extended(now)
         if certain and self._minion.runs:
             certain = await self._owner.confirm_ownership()
         if self._answer_count != answers:
             return False
-        self._owner.expire_runs_on(self._minion, reckoning, certain=certain)
+        self._owner.expire_runs_on(self._minion, lease_snapshot, certain=certain)
         return True
 
     async def _probe_throttled(self) -> None:
@@ -231,7 +231,7 @@
         sent = self._clock.monotonic()
         until = self._lease.next_lease_until(sent) if lease else None
         try:
-            reply = await self._calls.hold(
+            reply = await self._calls.probe(
                 self._minion.entry,
                 self._token,
                 self._acknowledged,
@@ -239,7 +239,7 @@
                 wait,
                 wait + self._timing.probe_timeout + self._lag.allowance,
             )
-        except MinionSilentError:
+        except MinionNoResponseError:
             if lease:
                 self._lease.record_unanswered(sent)
             raise
@@ -292,7 +292,7 @@
             )
         except StartRefusedError as error:
             self._owner.handle_refusal(self._minion, record, error.refusal)
-        except MinionSilentError:
+        except MinionNoResponseError:
             self._lease.record_unanswered(sent)
             if record.state is RunState.STARTING:
                 record.state = RunState.OUTCOME_UNKNOWN
@@ -318,7 +318,7 @@
         """
         try:
             await self._probe(lease=False, wait=_NO_WAIT)
-        except MinionSilentError:
+        except MinionNoResponseError:
             # The session finds the minion unreachable, and reconciles when it is back.
             pass
         except (MinionGoneError, FencedError):
@@ -339,7 +339,7 @@
                 await self._call_stop(*key)
                 self._unresolved_starts.pop(key, None)
                 await self._await_end(record)
-            except MinionSilentError:
+            except MinionNoResponseError:
                 await self._clock.sleep(self._timing.probe_backoff)
             except (MinionGoneError, FencedError):
                 return
--- a/src/brasstray/pool/owner.py
+++ b/src/brasstray/pool/owner.py
@@ -33,7 +33,7 @@
     from brasstray.clock.clock import Clock
     from brasstray.peer.message.run_tasks import RunTasks
     from brasstray.pool.errors import StartRefusal
-    from brasstray.pool.lease_reckoning import LeaseReckoning
+    from brasstray.pool.lease_snapshot import LeaseSnapshot
     from brasstray.pool.minion import Minion
     from brasstray.pool.minion_calls import MinionCalls
     from brasstray.pool.minion_entry import MinionEntry
@@ -280,10 +280,10 @@
                 self._drop(step, "requester_silent")
         self.dispatch()
 
-    def _drop(self, step: StepTasks, why: str) -> None:
+    def _drop(self, step: StepTasks, reason: str) -> None:
         if self._deposed.is_set():
             return
-        self._tasks.drop(step, why)
+        self._tasks.drop(step, reason)
         for session in self._roster.sessions:
             for record in list(session.minion.runs.values()):
                 if record.task is not None and record.task.parent_step is step:
@@ -354,7 +354,7 @@
         return await self._confirm_ownership()
 
     def expire_runs_on(
-        self, minion: Minion, reckoning: LeaseReckoning, *, certain: bool
+        self, minion: Minion, lease_snapshot: LeaseSnapshot, *, certain: bool
     ) -> None:
         """Record that every lease on `minion` has expired.
 
@@ -362,7 +362,7 @@
         with an unknown outcome.
         """
         if minion.runs:
-            self._events.leases_expired(minion, reckoning, certain=certain)
+            self._events.leases_expired(minion, lease_snapshot, certain=certain)
             if not certain:
                 self._runs.give_up_all(minion)
         self.end_runs_on(minion, gone=False)
--- a/src/brasstray/pool/owner_events.py
+++ b/src/brasstray/pool/owner_events.py
@@ -9,7 +9,7 @@
 
     from brasstray.batch.ids import PoolId
     from brasstray.pool.errors import StartRefusal
-    from brasstray.pool.lease_reckoning import LeaseReckoning
+    from brasstray.pool.lease_snapshot import LeaseSnapshot
     from brasstray.pool.minion import Minion
     from brasstray.pool.minion_health import Evidence
     from brasstray.pool.pool_task import TaskPhase
@@ -27,7 +27,7 @@
     def ended(self, minion: Minion, record: RunRecord, end: RunEnd) -> None:
         """A run has ended."""
 
-    def refused(self, minion: Minion, record: RunRecord, why: StartRefusal) -> None:
+    def refused(self, minion: Minion, record: RunRecord, reason: StartRefusal) -> None:
         """A minion refused a start."""
 
     def unanswered(self, minion: Minion, record: RunRecord) -> None:
@@ -42,7 +42,7 @@
         """
 
     def leases_expired(
-        self, minion: Minion, reckoning: LeaseReckoning, *, certain: bool
+        self, minion: Minion, lease_snapshot: LeaseSnapshot, *, certain: bool
     ) -> None:
         """All leases on an unreachable minion have expired, and its runs have ended.
 
@@ -59,7 +59,7 @@
         outcome.
         """
 
-    def suspected(self, minion: Minion, why: Evidence) -> None:
+    def suspected(self, minion: Minion, reason: Evidence) -> None:
         """A minion was suspended and gets no tasks for a while."""
 
     def trusted(self, minion: Minion) -> None:
@@ -82,7 +82,7 @@
         In an evacuated data centre, no other pool was reachable to send them to.
         """
 
-    def dropped(self, step: StepTasks, why: str) -> None:
+    def dropped(self, step: StepTasks, reason: str) -> None:
         """The tasks of a step are no longer wanted, or their outcome is unknown."""
 
 
--- a/src/brasstray/pool/task_registry.py
+++ b/src/brasstray/pool/task_registry.py
@@ -63,9 +63,9 @@
         step = self._steps.get((name.batch, name.step))
         return step.tasks.get(name.index) if step else None
 
-    def drop(self, step: StepTasks, why: str) -> None:
+    def drop(self, step: StepTasks, reason: str) -> None:
         """Remove a step that is no longer wanted."""
-        self._events.dropped(step, why)
+        self._events.dropped(step, reason)
         del self._steps[step.batch, step.step]
         step.waiting.clear()
 
--- a/src/brasstray_standins/leased_minions.py
+++ b/src/brasstray_standins/leased_minions.py
@@ -9,7 +9,7 @@
 
 import anyio
 
-from brasstray.pool.errors import MinionSilentError
+from brasstray.pool.errors import MinionNoResponseError
 from brasstray_standins.call_chaos import CallChaos, CallOutcome
 from brasstray_standins.gate import Gate
 
@@ -67,7 +67,7 @@
         self._group = group
         self._gate = gate or Gate()
 
-    async def hold(
+    async def probe(
         self,
         minion: MinionEntry,
         token: FencingToken,
@@ -123,7 +123,7 @@
         """Execute a call after `delay`, and let the caller time out."""
         self._group.start_soon(self._run_delayed, minion, operation, delay)
         await self._clock.sleep(timeout)
-        raise MinionSilentError("the call is delayed")
+        raise MinionNoResponseError("the call is delayed")
 
     async def _run_delayed(
         self,
@@ -157,7 +157,7 @@
 
         await self._call(minion, operation, timeout)
 
-    async def forget(self, minion: MinionEntry) -> None:
+    async def close_connections(self, minion: MinionEntry) -> None:
         """Do nothing, since no connection is kept."""
 
     async def _call(
@@ -191,7 +191,7 @@
                 await self._gate.wait()
                 return answer
             await anyio.sleep_forever()
-        raise MinionSilentError(str(minion.id))
+        raise MinionNoResponseError(str(minion.id))
 
 
 __all__ = ["LeasedMinions"]
--- a/tests/pool/takeover.py
+++ b/tests/pool/takeover.py
@@ -14,7 +14,7 @@
 from brasstray.clock.loop import LoopClock
 from brasstray.job.ids import DataCentreName, MinionId, ServiceName
 from brasstray.peer.message.run_tasks import RunTasks
-from brasstray.pool.errors import MinionSilentError
+from brasstray.pool.errors import MinionNoResponseError
 from brasstray.pool.minion_entry import MinionEntry
 from brasstray.pool.owner import PoolOwner
 from brasstray.pool.timing import PoolTiming
@@ -74,8 +74,8 @@
         self.affected = set()
         self._probes = {}
 
-    async def hold(self, minion, token, acknowledged, until_ms, wait, timeout):
-        reply = super().hold(minion, token, acknowledged, until_ms, wait, timeout)
+    async def probe(self, minion, token, acknowledged, until_ms, wait, timeout):
+        reply = super().probe(minion, token, acknowledged, until_ms, wait, timeout)
         if until_ms is not None or minion.id not in self.affected:
             return await reply
         number = self._probes.get(minion.id, 0)
@@ -84,7 +84,7 @@
         if number not in self.lost:
             return answer
         await self._clock.sleep(timeout)
-        raise MinionSilentError("lost")
+        raise MinionNoResponseError("lost")
 
 
 @dataclass
