--- a/src/brasstray/daemon/pool_daemon.py
+++ b/src/brasstray/daemon/pool_daemon.py
@@ -15,10 +15,10 @@
 
 from brasstray.clock.loop import LoopClock
 from brasstray.host.event_log import EventLog
-from brasstray.host.gauges import observe_host
-from brasstray.host.host_status import current_status
+from brasstray.host.gauges import register_host_gauges
+from brasstray.host.host_dependencies import HostDependencies
+from brasstray.host.host_status import confirmed_status
 from brasstray.host.identity import HostIdentity
-from brasstray.host.outside import Outside
 from brasstray.host.pool_host import PoolHost
 from brasstray.host.timing import HostTiming
 from brasstray.http.metrics_app import MetricsApp
@@ -89,7 +89,7 @@
             settings.store.address.address, settings.store.address.port
         )
         events = EventLog(metrics)
-        outside = Outside(
+        dependencies = HostDependencies(
             self._clock,
             random,
             uptime,
@@ -102,7 +102,7 @@
         )
         self._host = PoolHost(
             identity,
-            outside,
+            dependencies,
             HostTiming(pool=pool_timing(settings.minions)),
             settings.minions.remote_factor,
             section.known_data_centres,
@@ -110,9 +110,9 @@
         self._job_server = HttpServer(JobApp(self._host))
         self._readiness_server = HttpServer(ReadyApp(self._host))
         self._metrics_server = HttpServer(
-            MetricsApp(reader, partial(current_status, self._host))
+            MetricsApp(reader, partial(confirmed_status, self._host))
         )
-        observe_host(metrics, self._host)
+        register_host_gauges(metrics, self._host)
 
     async def run(self) -> None:
         """Serve until drained or cancelled."""
--- a/src/brasstray/host/config_fetch.py
+++ b/src/brasstray/host/config_fetch.py
@@ -104,7 +104,7 @@
             if self._config.store_reachable:
                 # The store notifies every host of a change within tens of milliseconds,
                 # so wait for it before fetching the same text from another host.
-                await self._clock.sleep(self._timing.config_head_start)
+                await self._clock.sleep(self._timing.config_fetch_delay)
             while (offer := self._newest_offer()) is not None:
                 await self._fetch(offer)
 
@@ -124,7 +124,7 @@
             offset = len(self._partial_text) if wanted == self._partial_version else 0
             self._part_received = anyio.Event()
             offer.send(ConfigWanted(version=wanted, offset=offset))
-            with anyio.move_on_after(self._timing.config_part.total_seconds()):
+            with anyio.move_on_after(self._timing.config_part_timeout.total_seconds()):
                 await self._part_received.wait()
             if not self._part_received.is_set():
                 # Try other hosts; this one is retried after its next heartbeat.
--- a/src/brasstray/host/current_config.py
+++ b/src/brasstray/host/current_config.py
@@ -44,7 +44,7 @@
         """Return whether the store answered the last request; True before the first."""
         return self._store_reachable
 
-    async def wait_known(self) -> None:
+    async def wait_available(self) -> None:
         """Wait until a configuration is in force."""
         await self._available.wait()
 
--- a/src/brasstray/host/evacuations.py
+++ b/src/brasstray/host/evacuations.py
@@ -58,7 +58,7 @@
         """Return the time since the newest set was received."""
         return self._clock.monotonic() - self._received_at
 
-    def covers(self, pool: PoolId) -> bool:
+    def is_evacuated(self, pool: PoolId) -> bool:
         """Return whether the data centre of `pool` is evacuated."""
         return DataCentreName(pool) in self._current.data_centres
 
--- a/src/brasstray/host/event_log.py
+++ b/src/brasstray/host/event_log.py
@@ -300,15 +300,15 @@
         """Record that another host was faster, or that the store gave no answer."""
         log_message("brasstray:pool_claim_failed", pool=pool, reason=reason)
 
-    def link_up(self, pool: PoolId, host: str) -> None:
+    def owner_reached(self, pool: PoolId, host: str) -> None:
         """Record that the owner of a pool is reachable."""
         log_message("brasstray:owner_reached", pool=pool, host=host)
 
-    def link_down(self, pool: PoolId, host: str, reason: str) -> None:
+    def owner_lost(self, pool: PoolId, host: str, reason: str) -> None:
         """Record that the owner of a pool is unreachable."""
         log_message("brasstray:owner_lost", pool=pool, host=host, reason=reason)
 
-    def requester_up(self, host: str) -> None:
+    def requester_reached(self, host: str) -> None:
         """Record that a host has opened a link to this one."""
         log_message("brasstray:requester_reached", host=host)
 
--- a/src/brasstray/host/gauges.py
+++ b/src/brasstray/host/gauges.py
@@ -12,7 +12,7 @@
     from brasstray.metrics.pool_metrics import PoolMetrics
 
 
-def observe_host(metrics: PoolMetrics, host: PoolHost) -> None:
+def register_host_gauges(metrics: PoolMetrics, host: PoolHost) -> None:
     """Register the gauges of `host` in `metrics`."""
 
     def jobs() -> Mapping[str, float]:
@@ -44,4 +44,4 @@
     metrics.add_gauge("brasstray_config", "the configuration in force", config)
 
 
-__all__ = ["observe_host"]
+__all__ = ["register_host_gauges"]
--- a/src/brasstray/host/outside.py
+++ b/src/brasstray/host/host_dependencies.py
@@ -26,7 +26,7 @@
 
 
 @dataclass(frozen=True)
-class Outside:
+class HostDependencies:
     """Hold the interfaces through which a host accesses its environment.
 
     `uptime` is a monotonic clock that advances while the machine is suspended.
@@ -43,4 +43,4 @@
     events: Events
 
 
-__all__ = ["Events", "Outside"]
+__all__ = ["Events", "HostDependencies"]
--- a/src/brasstray/host/host_events.py
+++ b/src/brasstray/host/host_events.py
@@ -65,13 +65,13 @@
     def pool_claim_failed(self, pool: PoolId, reason: str) -> None:
         """Record that another host was faster, or that the store gave no answer."""
 
-    def link_up(self, pool: PoolId, host: str) -> None:
+    def owner_reached(self, pool: PoolId, host: str) -> None:
         """Record that the owner of a pool is reachable."""
 
-    def link_down(self, pool: PoolId, host: str, reason: str) -> None:
+    def owner_lost(self, pool: PoolId, host: str, reason: str) -> None:
         """Record that the owner of a pool is unreachable."""
 
-    def requester_up(self, host: str) -> None:
+    def requester_reached(self, host: str) -> None:
         """Record that a host has opened a link to this one."""
 
     def requester_lost(self, host: str, reason: str) -> None:
--- a/src/brasstray/host/host_status.py
+++ b/src/brasstray/host/host_status.py
@@ -89,7 +89,7 @@
     requesters: tuple[str, ...]
 
 
-async def current_status(host: PoolHost) -> HostStatus:
+async def confirmed_status(host: PoolHost) -> HostStatus:
     """Return the status of `host` after confirming its ownership with the store."""
     await host.confirm_owned()
     return host_status(host)
@@ -167,6 +167,6 @@
     "MinionStatus",
     "OwnedPoolStatus",
     "OwnerStatus",
-    "current_status",
+    "confirmed_status",
     "host_status",
 ]
--- a/src/brasstray/host/operator_feed.py
+++ b/src/brasstray/host/operator_feed.py
@@ -41,7 +41,7 @@
             "configuration",
             self._apply_changes_after,
             self._clock,
-            self._timing.store_retry,
+            self._timing.store_retry_delay,
             self._events,
         )
 
@@ -62,7 +62,7 @@
     async def _read_after(self, as_of: int | None) -> OperatorEntries:
         if as_of is None:
             return await self._source.read()
-        return await self._source.wait(as_of, self._timing.config_watch)
+        return await self._source.watch(as_of, self._timing.config_watch_timeout)
 
 
 __all__ = ["OperatorFeed"]
--- a/src/brasstray/host/operator_source.py
+++ b/src/brasstray/host/operator_source.py
@@ -21,9 +21,9 @@
 class OperatorEntries:
     """Hold entries that operators wrote, and the store version that they reflect.
 
-    After a read, `evacuated` holds all evacuated data centres; after a wait, only those
-    evacuated since, and `resumed` those resumed since. `unreadable` is the reason why a
-    new configuration could not be parsed.
+    After a read, `evacuated` holds all evacuated data centres; after a watch, only
+    those evacuated since, and `resumed` those resumed since. `unreadable` is the reason
+    why a new configuration could not be parsed.
     """
 
     configuration: Configuration | None
@@ -39,7 +39,7 @@
     async def read(self) -> OperatorEntries:
         """Return all entries."""
 
-    async def wait(self, after: int, wait: timedelta) -> OperatorEntries:
+    async def watch(self, after: int, wait: timedelta) -> OperatorEntries:
         """Return the next changes after version `after`, or none after `wait`."""
 
     def parse(self, text: bytes) -> Configuration:
--- a/src/brasstray/host/owner_record.py
+++ b/src/brasstray/host/owner_record.py
@@ -45,7 +45,7 @@
     return PoolId(key.removeprefix(POOL_PREFIX))
 
 
-def owned_pool(entry: StoreEntry) -> OwnedPool:
+def decode_owned_pool(entry: StoreEntry) -> OwnedPool:
     """Decode `entry`; raise ValueError if its value is malformed."""
     owner = msgspec.json.decode(entry.value, type=OwnerRecord)
     return OwnedPool(owner=owner, token=FencingToken(entry.version))
@@ -55,7 +55,7 @@
     "POOL_PREFIX",
     "OwnedPool",
     "OwnerRecord",
-    "owned_pool",
+    "decode_owned_pool",
     "pool_from_key",
     "pool_key",
 ]
--- a/src/brasstray/host/ownership.py
+++ b/src/brasstray/host/ownership.py
@@ -13,7 +13,7 @@
     POOL_PREFIX,
     OwnedPool,
     OwnerRecord,
-    owned_pool,
+    decode_owned_pool,
     pool_from_key,
     pool_key,
 )
@@ -117,7 +117,7 @@
             "pools",
             self._read_store,
             self._clock,
-            self._timing.store_retry,
+            self._timing.store_retry_delay,
             self._events,
         )
 
@@ -152,7 +152,7 @@
     def _apply_entry(self, entry: StoreEntry) -> None:
         pool = pool_from_key(entry.name)
         try:
-            owned = owned_pool(entry)
+            owned = decode_owned_pool(entry)
         except ValueError as error:
             self._events.pool_claim_failed(pool, f"malformed store entry: {error}")
             return
@@ -258,7 +258,7 @@
             await self.refresh()
         except StoreUnavailableError as error:
             self._events.pool_claim_failed(self._pool, str(error))
-            await self._clock.sleep(self._timing.store_retry)
+            await self._clock.sleep(self._timing.store_retry_delay)
             await self.refresh()
         else:
             entry_owner = OwnedPool(owner=record, token=FencingToken(version))
--- a/src/brasstray/host/pool_directory.py
+++ b/src/brasstray/host/pool_directory.py
@@ -180,7 +180,7 @@
 
     def is_evacuated(self, pool: PoolId) -> bool:
         """Return whether `pool` is evacuated: its minions start no new tasks."""
-        return self._evacuations.covers(pool)
+        return self._evacuations.is_evacuated(pool)
 
     def all_evacuated(self) -> bool:
         """Return whether every known pool is evacuated, and at least one is known."""
--- a/src/brasstray/host/pool_handover.py
+++ b/src/brasstray/host/pool_handover.py
@@ -5,7 +5,7 @@
 from datetime import timedelta
 from typing import TYPE_CHECKING
 
-from brasstray.host.succession import SHORTEST_TENURE, rank_successors, should_hand_over
+from brasstray.host.succession import MIN_TENURE, rank_successors, should_hand_over
 
 if TYPE_CHECKING:
     from collections.abc import Callable
@@ -52,7 +52,7 @@
     async def watch(self, may_hand_over: Callable[[], bool]) -> None:
         """Request a handover when one pays off and `may_hand_over` allows it."""
         while True:
-            await self._clock.sleep(SHORTEST_TENURE)
+            await self._clock.sleep(MIN_TENURE)
             if may_hand_over() and not self._requested:
                 self._request_if_due()
 
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -44,8 +44,8 @@
     from brasstray.batch.queue import Queue
     from brasstray.host.current_config import CurrentConfig
     from brasstray.host.evacuations import Evacuations
+    from brasstray.host.host_dependencies import Events, HostDependencies
     from brasstray.host.identity import HostIdentity
-    from brasstray.host.outside import Events, Outside
     from brasstray.host.owner_record import OwnedPool
     from brasstray.host.timing import HostTiming
     from brasstray.job.ids import DataCentreName
@@ -61,26 +61,26 @@
     def __init__(
         self,
         identity: HostIdentity,
-        outside: Outside,
+        dependencies: HostDependencies,
         timing: HostTiming,
         remote_factor: float,
         data_centres: frozenset[DataCentreName] = frozenset(),
     ) -> None:
         self._identity = identity
-        self._outside = outside
+        self._dependencies = dependencies
         self._timing = timing
         self._remote_factor = remote_factor
-        self._clock = clock = outside.clock
-        self._events = events = outside.events
+        self._clock = clock = dependencies.clock
+        self._events = events = dependencies.events
         self._operator_state = OperatorState(
-            outside.operators, data_centres, clock, timing, events
+            dependencies.operators, data_centres, clock, timing, events
         )
         self._evacuations = self._operator_state.evacuations
         self._pool = PoolId(str(identity.data_centre))
         self._requesters = RequesterLinks(identity.data_centre)
         self._minion_feed = MinionFeed(
             identity.data_centre,
-            outside.minion_list,
+            dependencies.minion_list,
             self._operator_state.config,
             self._requesters,
             clock,
@@ -89,7 +89,7 @@
         )
         self._directory = PoolDirectory(
             identity,
-            outside.opener,
+            dependencies.opener,
             clock,
             timing,
             events,
@@ -105,10 +105,10 @@
         self._ownership = Ownership(
             self._pool,
             identity,
-            outside.store,
+            dependencies.store,
             self._directory,
             clock,
-            outside.random,
+            dependencies.random,
             timing,
             events,
             self._start_owner,
@@ -130,7 +130,12 @@
             clock, timing, lambda: self._owner, self._notify_other_owners
         )
         self._suspension_detector = SuspensionDetector(
-            clock, outside.uptime, timing, events, self._is_active, self._discard_state
+            clock,
+            dependencies.uptime,
+            timing,
+            events,
+            self._is_active,
+            self._discard_state,
         )
         self._drain_deadline: timedelta | None = None
         self._started_at: timedelta | None = None
@@ -252,7 +257,7 @@
         await self._clock.sleep(time_left)
         self._coordinator.end_all_jobs()
 
-    async def first_config(self) -> Configuration | None:
+    async def wait_for_first_config(self) -> Configuration | None:
         """Return the configuration in force, or None if there is none.
 
         In the first `first_config_timeout` after its start, the host waits for one.
@@ -267,7 +272,7 @@
             )
             left = max(timedelta(0), self._timing.first_config_timeout - since)
             with anyio.move_on_after(left.total_seconds()):
-                await self.config.wait_known()
+                await self.config.wait_available()
         return self.config.current
 
     async def run_job(
@@ -297,7 +302,7 @@
         owner = self._owner = PoolOwner(
             self._pool,
             owned.token,
-            self._outside.minions,
+            self._dependencies.minions,
             self._clock,
             self._timing.pool,
             self._remote_factor,
@@ -305,7 +310,7 @@
             self._events,
             lambda: self._ownership.confirm(owned),
             self._minion_feed.last_known_minions,
-            lambda: self._evacuations.covers(self._pool),
+            lambda: self._evacuations.is_evacuated(self._pool),
         )
         self._events.pool_taken(self._pool, owned.token, "claimed")
         self._handover.start_tenure()
@@ -397,7 +402,7 @@
         match message:
             case Hello():
                 link.record_hello(message)
-                self._events.requester_up(link.name)
+                self._events.requester_reached(link.name)
                 if self._owner is not None:
                     self._minion_feed.send_minions(link)
                     self._requesters.announce_successors()
--- a/src/brasstray/host/pool_link.py
+++ b/src/brasstray/host/pool_link.py
@@ -284,7 +284,7 @@
             resigning = pool_state.resigning
             self._set_owner_state(OwnerState.RESIGNING if resigning else OwnerState.UP)
             if not was_up:
-                self._events.link_up(self._pool, self._owned.owner.host)
+                self._events.owner_reached(self._pool, self._owned.owner.host)
                 self._failed_at = None
                 # The requests that opened the link were sent on it, and the owner may
                 # have returned their tasks for another pool by now. If they were
@@ -308,7 +308,7 @@
             self._set_owner_state(new)
         if self._pool_state is not None:
             self._pool_state = None
-            self._events.link_down(self._pool, self._owned.owner.host, reason)
+            self._events.owner_lost(self._pool, self._owned.owner.host, reason)
 
 
 def _tasks_of(request: RunTasks) -> Iterator[TaskName]:
--- a/src/brasstray/host/succession.py
+++ b/src/brasstray/host/succession.py
@@ -21,7 +21,7 @@
 MIN_POWER_RATIO = 1.5
 # The least time before an owner hands a pool over. Otherwise, each of several hosts
 # that return one after the other would cause a handover.
-SHORTEST_TENURE = timedelta(seconds=3)
+MIN_TENURE = timedelta(seconds=3)
 
 
 class Succession:
@@ -74,13 +74,13 @@
     `own_power` is the power of the owner, `others` that of the reachable hosts.
     """
     strongest = max(others, default=0.0)
-    return tenure >= SHORTEST_TENURE and strongest >= own_power * MIN_POWER_RATIO
+    return tenure >= MIN_TENURE and strongest >= own_power * MIN_POWER_RATIO
 
 
 __all__ = [
     "CLAIM_DELAY_STEP",
     "MAX_SUCCESSORS",
-    "SHORTEST_TENURE",
+    "MIN_TENURE",
     "Succession",
     "rank_successors",
     "should_hand_over",
--- a/src/brasstray/host/timing.py
+++ b/src/brasstray/host/timing.py
@@ -31,14 +31,14 @@
     learn that its claim succeeded, connect to each minion and answer each host.
     `takeover_window` is how long a takeover counts towards the doubling of the vacancy
     timeout.
-    `config_head_start` is how long the store may take to deliver a configuration that
+    `config_fetch_delay` is how long the store may take to deliver a configuration that
     another host already has, before it is fetched from that host.
-    `config_part` is the timeout for one part of a configuration requested from another
-    host, about the duration of a takeover.
+    `config_part_timeout` is the timeout for one part of a configuration requested from
+    another host, about the duration of a takeover.
     `first_config_timeout` is how long after its start a host holds back requests
     while it has no configuration.
-    `config_watch` and `pool_watch_timeout` limit one watch request to the store;
-    `store_retry` is the pause after the store did not answer.
+    `config_watch_timeout` and `pool_watch_timeout` limit one watch request to the
+    store; `store_retry_delay` is the pause after the store did not answer.
     `tick` is the polling interval while a takeover is due, a pool is owned or a job is
     active; `idle_tick` is the interval otherwise.
     `load_notice_interval` is the minimum time between two notices to other owners that
@@ -59,12 +59,12 @@
     claim_jitter: timedelta = _ms(80)
     new_owner_timeout: timedelta = _ms(600)
     takeover_window: timedelta = _ms(10_000)
-    config_head_start: timedelta = _ms(300)
-    config_part: timedelta = _ms(600)
+    config_fetch_delay: timedelta = _ms(300)
+    config_part_timeout: timedelta = _ms(600)
     first_config_timeout: timedelta = _ms(400)
-    config_watch: timedelta = _ms(1_500)
+    config_watch_timeout: timedelta = _ms(1_500)
     pool_watch_timeout: timedelta = _ms(2_500)
-    store_retry: timedelta = _ms(150)
+    store_retry_delay: timedelta = _ms(150)
     tick: timedelta = _ms(20)
     idle_tick: timedelta = _ms(100)
     load_notice_interval: timedelta = _ms(10)
--- a/src/brasstray/platform/job_app.py
+++ b/src/brasstray/platform/job_app.py
@@ -55,7 +55,7 @@
         await response.send(send)
 
     async def _respond(self, scope: Scope, receive: Receive) -> HttpResponse | None:
-        config = await self._host.first_config()
+        config = await self._host.wait_for_first_config()
         events = self._host.events
         job = scope["path"].rpartition("/")[2]
         if config is None:
--- a/src/brasstray/platform/operator_entries.py
+++ b/src/brasstray/platform/operator_entries.py
@@ -45,7 +45,7 @@
         found = await self._store.snapshot(OPERATOR_PREFIX)
         return self._entries(found.entries, (), found.as_of)
 
-    async def wait(self, after: int, wait: timedelta) -> OperatorEntries:
+    async def watch(self, after: int, wait: timedelta) -> OperatorEntries:
         """Return the changes after version `after`, or none once `wait` has passed."""
         changes = await self._store.watch(OPERATOR_PREFIX, after, wait)
         return self._entries(changes.written, changes.removed, changes.as_of)
--- a/src/brasstray_standins/pool_system.py
+++ b/src/brasstray_standins/pool_system.py
@@ -18,9 +18,9 @@
 from brasstray.batch.step import Step
 from brasstray.clock.loop import LoopClock
 from brasstray.host.event_log import EventLog
+from brasstray.host.host_dependencies import HostDependencies
 from brasstray.host.identity import HostIdentity
 from brasstray.host.operator_source import OperatorEntries, UnreadableConfigError
-from brasstray.host.outside import Outside
 from brasstray.host.pool_host import PoolHost
 from brasstray.host.timing import HostTiming
 from brasstray.job.ids import DataCentreName, HostName, MinionId, ServiceName
@@ -85,7 +85,7 @@
         found = await self._store.snapshot(OPERATOR_PREFIX)
         return self._entries(found.entries, (), found.as_of)
 
-    async def wait(self, after: int, wait: timedelta) -> OperatorEntries:
+    async def watch(self, after: int, wait: timedelta) -> OperatorEntries:
         changes = await self._store.watch(OPERATOR_PREFIX, after, wait)
         return self._entries(changes.written, changes.removed, changes.as_of)
 
@@ -264,7 +264,7 @@
             1,
             self._power(name),
         )
-        outside = Outside(
+        dependencies = HostDependencies(
             clock,
             self.random,
             self.clock.monotonic,
@@ -276,7 +276,7 @@
             EventLog(self.metrics),
         )
         centres = frozenset(map(DataCentreName, self.centres))
-        host = PoolHost(identity, outside, HostTiming(), 1.5, centres)
+        host = PoolHost(identity, dependencies, HostTiming(), 1.5, centres)
         scope = anyio.CancelScope()
         running = RunningHost(host, calls, gate, scope, self.group)
         self.hosts[name] = running
--- a/tests/host/test_config_fetch.py
+++ b/tests/host/test_config_fetch.py
@@ -57,8 +57,8 @@
     async def read(self):
         return await self._answer("read")
 
-    async def wait(self, after, wait):
-        return await self._answer("wait")
+    async def watch(self, after, wait):
+        return await self._answer("watch")
 
     async def _answer(self, question):
         await anyio.sleep(0.01)
@@ -136,7 +136,7 @@
     async def scenario(fetch, config, events, group):
         peer = Peer(fetch, "a", 2)
         peer.offer(group)
-        await anyio.sleep(TIMING.config_head_start.total_seconds() / 2)
+        await anyio.sleep(TIMING.config_fetch_delay.total_seconds() / 2)
         config.adopt(configuration(2), "store")
         await anyio.sleep(1)
         return peer.asked
@@ -185,7 +185,7 @@
     async def scenario(fetch, config, events, group):
         peer = Peer(fetch, "a", 2)
         peer.offer(group)
-        start = TIMING.config_head_start.total_seconds()
+        start = TIMING.config_fetch_delay.total_seconds()
         await anyio.sleep(start + 0.025)
         peer.current = configuration(3)
         await anyio.sleep(2)
--- a/tests/host/test_evacuations.py
+++ b/tests/host/test_evacuations.py
@@ -68,7 +68,7 @@
         update(known)
     assert known.current == EvacuationSet(as_of, frozenset(centres))
     assert known.current.known == bool(as_of)
-    assert {pool for pool in "abxy" if known.covers(pool)} == set(centres)
+    assert {pool for pool in "abxy" if known.is_evacuated(pool)} == set(centres)
 
 
 def test_an_event_is_recorded_only_if_the_set_changes():
--- a/tests/host/test_host_status.py
+++ b/tests/host/test_host_status.py
@@ -7,8 +7,8 @@
 import msgspec
 import pytest
 
-from brasstray.host.host_status import current_status, host_status
-from brasstray.host.owner_record import owned_pool, pool_key
+from brasstray.host.host_status import confirmed_status, host_status
+from brasstray.host.owner_record import decode_owned_pool, pool_key
 
 
 def test_an_owner_shows_its_pool_and_others_where_it_is(play_pools):
@@ -82,10 +82,10 @@
             system.store.silent_watches.add(owner)
             await system.clock.sleep(timedelta(seconds=2))
         (entry,) = system.store.entries(pool_key("dc0"))
-        record = owned_pool(entry).owner
+        record = decode_owned_pool(entry).owner
         newer = msgspec.structs.replace(record, host="dc0-h9", incarnation="newer")
         system.store.put(entry.name, msgspec.json.encode(newer))
-        return await current_status(system.hosts[owner].host)
+        return await confirmed_status(system.hosts[owner].host)
 
     status, _ = play_pools(scenario)
     assert status.owned is None
@@ -100,7 +100,7 @@
         if away:
             system.store.down = True
         await system.clock.sleep(timedelta(milliseconds=away))
-        return await current_status(system.hosts[owner].host)
+        return await confirmed_status(system.hosts[owner].host)
 
     status, _ = play_pools(scenario)
     assert least <= status.owned.confirmed_ms_ago <= most
--- a/tests/host/test_large_configuration.py
+++ b/tests/host/test_large_configuration.py
@@ -8,7 +8,7 @@
 from tests.host.load import under_load
 
 from brasstray.batch.outcome import BatchOutcome
-from brasstray.host.succession import SHORTEST_TENURE
+from brasstray.host.succession import MIN_TENURE
 from brasstray_standins.pool_system import PoolSystemSize
 
 SECOND = timedelta(seconds=1)
@@ -71,7 +71,7 @@
     async def scenario(system):
         if strong_hosts_each:
             # Pools that weak hosts took first move to strong ones.
-            await system.clock.sleep(3 * SHORTEST_TENURE)
+            await system.clock.sleep(3 * MIN_TENURE)
         before = tokens(system)
         away = refused_hosts(system)
         found = {}
--- a/tests/host/test_starting.py
+++ b/tests/host/test_starting.py
@@ -38,7 +38,7 @@
         host = system.start(name, "dc0").host
         await system.clock.sleep(ms(asked_after))
         began = system.clock.monotonic()
-        found = await host.first_config()
+        found = await host.wait_for_first_config()
         return found is not None, system.clock.monotonic() - began
 
     (found, took), _ = play_pools(scenario)
--- a/tests/host/test_succession.py
+++ b/tests/host/test_succession.py
@@ -11,7 +11,7 @@
 from brasstray.batch.outcome import BatchOutcome
 from brasstray.host.succession import (
     CLAIM_DELAY_STEP,
-    SHORTEST_TENURE,
+    MIN_TENURE,
     Succession,
     rank_successors,
     should_hand_over,
@@ -52,8 +52,8 @@
 @pytest.mark.parametrize(
     ("own", "others", "held", "moved"),
     [
-        (0.5, [2.0], SHORTEST_TENURE, True),
-        (0.5, [2.0], SHORTEST_TENURE / 2, False),
+        (0.5, [2.0], MIN_TENURE, True),
+        (0.5, [2.0], MIN_TENURE / 2, False),
         (2.0, [2.0, 2.1], SECOND * 60, False),
         (2.0, [0.5], SECOND * 60, False),
         (0.5, [], SECOND * 60, False),
@@ -75,9 +75,9 @@
     # All hosts start at about the same time, and the first to claim the pool owns it. A
     # weak owner would read the ends of tasks late, so it hands the pool over, once.
     async def scenario(system):
-        await system.clock.sleep(3 * SHORTEST_TENURE)
+        await system.clock.sleep(3 * MIN_TENURE)
         first, first_token = system.owner(), current_token(system)
-        await system.clock.sleep(10 * SHORTEST_TENURE)
+        await system.clock.sleep(10 * MIN_TENURE)
         return first, system.owner(), current_token(system) - first_token
 
     (first, later, takeovers), _ = play_pools(scenario, FLEET)
@@ -92,7 +92,7 @@
     # of them claimed, all but one of the writes would be wasted, and a weak host might
     # get the pool.
     async def scenario(system):
-        await system.clock.sleep(3 * SHORTEST_TENURE)
+        await system.clock.sleep(3 * MIN_TENURE)
         before = current_token(system)
         for _ in range(killed):
             strong = sorted(name for name in system.hosts if is_strong(name))
@@ -123,7 +123,7 @@
             await system.clock.sleep(SECOND)
             for number in range(3):
                 system.start(f"dc0-h{number}", "dc0")
-            await system.clock.sleep(3 * SHORTEST_TENURE)
+            await system.clock.sleep(3 * MIN_TENURE)
             strong = system.owner()
         return load, weak, strong
 
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -9,7 +9,7 @@
 
 from brasstray.batch.configuration import Configuration
 from brasstray.host.operator_source import UnreadableConfigError
-from brasstray.host.owner_record import owned_pool
+from brasstray.host.owner_record import decode_owned_pool
 from brasstray.peer.errors import UnreadableMessageError
 from brasstray.peer.pool_messages import decode_frame
 from brasstray.platform.body import UnreadableBodyError
@@ -95,7 +95,7 @@
     ),
     (WatchReply.decode, UnreadableBodyError),
     (TransactionReply.decode, UnreadableBodyError),
-    (lambda text: owned_pool(entry(text)), ValueError),
+    (lambda text: decode_owned_pool(entry(text)), ValueError),
     (decode_frame, UnreadableMessageError),
 ]
 
--- a/tests/platform/test_operator_entries.py
+++ b/tests/platform/test_operator_entries.py
@@ -33,7 +33,7 @@
     source = OperatorEntryReader(
         Store(written, removed), lambda name, why: ignored.append(name)
     )
-    return anyio.run(source.wait, 3, timedelta(seconds=1)), ignored
+    return anyio.run(source.watch, 3, timedelta(seconds=1)), ignored
 
 
 @pytest.mark.parametrize(
