--- a/src/brasstray/batch/evacuation_set.py
+++ b/src/brasstray/batch/evacuation_set.py
@@ -19,11 +19,11 @@
     data_centres: frozenset[DataCentreName] = frozenset()
 
     @property
-    def known(self) -> bool:
+    def was_read(self) -> bool:
         """Tell whether the set was ever read from the store."""
         return self.as_of > 0
 
 
-NEVER_READ = EvacuationSet()
+UNREAD_EVACUATIONS = EvacuationSet()
 
-__all__ = ["NEVER_READ", "EvacuationSet"]
+__all__ = ["UNREAD_EVACUATIONS", "EvacuationSet"]
--- a/src/brasstray/coordinator/active_batch.py
+++ b/src/brasstray/coordinator/active_batch.py
@@ -30,7 +30,7 @@
 
     batch: Batch
     queue: Queue
-    arrived: timedelta
+    submitted_at: timedelta
     due: timedelta
     useful: timedelta
     limit: timedelta
--- a/src/brasstray/coordinator/coordinator.py
+++ b/src/brasstray/coordinator/coordinator.py
@@ -54,18 +54,18 @@
         self._job_added = anyio.Event()
 
     @property
-    def active(self) -> int:
+    def active_count(self) -> int:
         """Return the number of active jobs."""
         return len(self._active)
 
-    def pending(self, queue: str) -> int:
+    def pending_count(self, queue: str) -> int:
         """Return the number of active jobs of `queue` without a completed task."""
         return sum(
             active.queue.name == queue and not active.any_done
             for active in self._active.values()
         )
 
-    def knows(self, batch: BatchId) -> bool:
+    def is_active(self, batch: BatchId) -> bool:
         """Return whether the job is active here."""
         return batch in self._active
 
@@ -380,7 +380,7 @@
         self._active.pop(active.batch.id, None)
         for pool in sorted(set(active.placed.values())):
             self._pools.send(pool, StopTasks(batch=active.batch.id))
-        took = self._clock.monotonic() - active.arrived
+        took = self._clock.monotonic() - active.submitted_at
         self._events.answered(active, result, took)
         active.ended.set()
 
--- a/src/brasstray/daemon/pool_daemon.py
+++ b/src/brasstray/daemon/pool_daemon.py
@@ -137,7 +137,9 @@
                 peers=f"{section.peers.address}:{section.peers.port}",
             )
             await self._job_server.run(callers)
-            log_message("brasstray:stopped", jobs_left=self._host.coordinator.active)
+            log_message(
+                "brasstray:stopped", jobs_left=self._host.coordinator.active_count
+            )
             self._output.flush()
             group.cancel_scope.cancel()
 
@@ -185,7 +187,7 @@
     @property
     def _busy(self) -> bool:
         """Return whether jobs are active here, or minions have no other owner yet."""
-        return bool(self._host.coordinator.active) or self._host.owner is not None
+        return bool(self._host.coordinator.active_count) or self._host.owner is not None
 
     async def _drain_on_signal(self) -> None:
         with anyio.open_signal_receiver(signal.SIGTERM, signal.SIGINT) as signals:
--- a/src/brasstray/host/evacuations.py
+++ b/src/brasstray/host/evacuations.py
@@ -7,7 +7,7 @@
 
 import anyio
 
-from brasstray.batch.evacuation_set import NEVER_READ, EvacuationSet
+from brasstray.batch.evacuation_set import UNREAD_EVACUATIONS, EvacuationSet
 from brasstray.job.ids import DataCentreName
 
 if TYPE_CHECKING:
@@ -38,7 +38,7 @@
         self._data_centres = data_centres
         self._clock = clock
         self._events = events
-        self._current = NEVER_READ
+        self._current = UNREAD_EVACUATIONS
         self._source = "nobody"
         self._received_at = timedelta(0)
         self._changed = anyio.Event()
@@ -89,7 +89,7 @@
         before, self._current = self._current, received
         self._source = source
         self._received_at = self._clock.monotonic()
-        if received.data_centres != before.data_centres or not before.known:
+        if received.data_centres != before.data_centres or not before.was_read:
             self._events.evacuations_changed(received, source)
             self._changed.set()
 
--- a/src/brasstray/host/event_log.py
+++ b/src/brasstray/host/event_log.py
@@ -44,7 +44,7 @@
         self, active: ActiveBatch, result: BatchResult, elapsed: timedelta
     ) -> None:
         """Record the result of a job."""
-        objective = active.due - active.arrived
+        objective = active.due - active.submitted_at
         self._metrics.count_answer(result, elapsed, objective)
         reason = result.reason.value if result.reason else None
         log_message(
@@ -56,7 +56,7 @@
             reason=reason,
             took_ms=elapsed // _MILLISECOND,
             objective_ms=objective // _MILLISECOND,
-            timeout_ms=(active.limit - active.arrived) // _MILLISECOND,
+            timeout_ms=(active.limit - active.submitted_at) // _MILLISECOND,
             unfinished={
                 f"{step}.{index}": pool
                 for (step, index), pool in list(active.placed.items())[:8]
--- a/src/brasstray/host/gauges.py
+++ b/src/brasstray/host/gauges.py
@@ -16,7 +16,7 @@
     """Register the gauges of `host` in `metrics`."""
 
     def jobs() -> Mapping[str, float]:
-        return {"active": host.coordinator.active}
+        return {"active": host.coordinator.active_count}
 
     def pool() -> Mapping[str, float]:
         owner = host.owner
--- a/src/brasstray/host/host_status.py
+++ b/src/brasstray/host/host_status.py
@@ -105,7 +105,7 @@
         state=_state(host),
         config_version=host.config.version,
         evacuations=_evacuation_status(host.evacuations),
-        jobs=host.coordinator.active,
+        jobs=host.coordinator.active_count,
         owned=None
         if owner is None
         else _owned_pool_status(owner, host.owned_confirmed_ago),
--- a/src/brasstray/host/ownership.py
+++ b/src/brasstray/host/ownership.py
@@ -198,7 +198,7 @@
         A host that was just started and has not read the evacuations yet must not order
         minions: it might start tasks in an evacuated data centre.
         """
-        return self._known and self._evacuations.current.known and not self._draining
+        return self._known and self._evacuations.current.was_read and not self._draining
 
     def _is_claim_due(self) -> bool:
         if self._token_held or not self._is_vacant():
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -452,7 +452,7 @@
                 self._operator_state.handle_config_message(str(pool), message, send)
 
     def _is_active(self) -> bool:
-        return self._owner is not None or self._coordinator.active > 0
+        return self._owner is not None or self._coordinator.active_count > 0
 
     def _discard_state(self) -> None:
         """Give up the pool and end every job, after a suspension.
--- a/src/brasstray/peer/message/hello.py
+++ b/src/brasstray/peer/message/hello.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brasstray.batch.evacuation_set import NEVER_READ, EvacuationSet
+from brasstray.batch.evacuation_set import UNREAD_EVACUATIONS, EvacuationSet
 from brasstray.batch.ids import ConfigVersion
 from brasstray.job.ids import HostName, IncarnationId
 from brasstray.peer.message.host_message import HostMessage
@@ -17,7 +17,7 @@
     host: HostName
     incarnation: IncarnationId
     config_version: ConfigVersion
-    evacuations: EvacuationSet = NEVER_READ
+    evacuations: EvacuationSet = UNREAD_EVACUATIONS
     power: float = 1.0
 
 
--- a/src/brasstray/peer/message/ping.py
+++ b/src/brasstray/peer/message/ping.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from brasstray.batch.evacuation_set import NEVER_READ, EvacuationSet
+from brasstray.batch.evacuation_set import UNREAD_EVACUATIONS, EvacuationSet
 from brasstray.batch.ids import ConfigVersion
 from brasstray.peer.message.host_message import HostMessage
 
@@ -11,7 +11,7 @@
     """Report that the sender is alive, and its configuration and evacuations."""
 
     config_version: ConfigVersion
-    evacuations: EvacuationSet = NEVER_READ
+    evacuations: EvacuationSet = UNREAD_EVACUATIONS
 
 
 __all__ = ["Ping"]
--- a/src/brasstray/peer/message/pool_state.py
+++ b/src/brasstray/peer/message/pool_state.py
@@ -4,7 +4,7 @@
 
 import msgspec
 
-from brasstray.batch.evacuation_set import NEVER_READ, EvacuationSet
+from brasstray.batch.evacuation_set import UNREAD_EVACUATIONS, EvacuationSet
 from brasstray.batch.ids import ConfigVersion, FencingToken, PoolId
 from brasstray.job.ids import IncarnationId
 from brasstray.peer.message.host_message import HostMessage
@@ -28,7 +28,7 @@
     ready: bool
     resigning: bool = False
     config_version: ConfigVersion
-    evacuations: EvacuationSet = NEVER_READ
+    evacuations: EvacuationSet = UNREAD_EVACUATIONS
 
 
 __all__ = ["PoolState"]
--- a/src/brasstray/platform/job_app.py
+++ b/src/brasstray/platform/job_app.py
@@ -74,12 +74,12 @@
         rest = scope["path"][len(queue.prefix) :]
         match scope["method"], rest:
             case "GET", "":
-                pending = self._host.coordinator.pending(queue.name)
+                pending = self._host.coordinator.pending_count(queue.name)
                 return json_response(200, {"Pending": pending})
             case "POST", _ if _JOB_ID.fullmatch(rest):
                 return await self._submit(scope, receive, queue, rest, body)
             case "GET", _ if _JOB_ID.fullmatch(rest):
-                if self._host.coordinator.knows(BatchId(rest)):
+                if self._host.coordinator.is_active(BatchId(rest)):
                     return json_response(200, {"State": "running"})
                 return json_response(410, {})
             case "DELETE", _ if _JOB_ID.fullmatch(rest):
--- a/src/brasstray/platform/minion_listing.py
+++ b/src/brasstray/platform/minion_listing.py
@@ -70,13 +70,13 @@
         entries = []
         for entry in found.entries:
             try:
-                entries.append(minion_entry(entry))
+                entries.append(parse_minion_entry(entry))
             except UnreadableBodyError as error:
                 self._on_ignored(entry.name, str(error))
         return [entry for entry in entries if entry.data_centre == data_centre]
 
 
-def minion_entry(entry: StoreEntry) -> MinionEntry:
+def parse_minion_entry(entry: StoreEntry) -> MinionEntry:
     """Decode the minion in `entry`; raise UnreadableBodyError if it is invalid."""
     name = entry.name.removeprefix(SERVERS_PREFIX)
     if not _MINION_ID.fullmatch(name):
@@ -103,4 +103,4 @@
     )
 
 
-__all__ = ["MinionListing", "minion_entry"]
+__all__ = ["MinionListing", "parse_minion_entry"]
--- a/tests/host/test_evacuations.py
+++ b/tests/host/test_evacuations.py
@@ -67,7 +67,7 @@
     for update in updates:
         update(known)
     assert known.current == EvacuationSet(as_of, frozenset(centres))
-    assert known.current.known == bool(as_of)
+    assert known.current.was_read == bool(as_of)
     assert {pool for pool in "abxy" if known.is_evacuated(pool)} == set(centres)
 
 
--- a/tests/platform/test_decoders.py
+++ b/tests/platform/test_decoders.py
@@ -20,7 +20,7 @@
     parse_job,
 )
 from brasstray.platform.minion_bodies import HoldReply, Reply
-from brasstray.platform.minion_listing import minion_entry
+from brasstray.platform.minion_listing import parse_minion_entry
 from brasstray.platform.store_bodies import (
     Item,
     RangeReply,
@@ -87,7 +87,7 @@
         (UnreadableBodyError, ValueError),
     ),
     (Reply.decode, UnreadableBodyError),
-    (lambda text: minion_entry(entry(text)), UnreadableBodyError),
+    (lambda text: parse_minion_entry(entry(text)), UnreadableBodyError),
     (lambda text: Item.decode(text).to_entry(), UnreadableBodyError),
     (
         lambda text: [i.to_entry() for i in RangeReply.decode(text).items],
@@ -115,7 +115,7 @@
 def test_an_entry_with_one_arbitrary_field_names_a_minion_or_is_invalid(field, value):
     text = json.dumps(SERVER | {field: value}).encode()
     try:
-        found = minion_entry(entry(text))
+        found = parse_minion_entry(entry(text))
     except UnreadableBodyError:
         return
     assert found.draining in (True, False)
@@ -144,27 +144,27 @@
     # send tasks to something that cannot run them; failing the whole listing would make
     # all other minions unknown.
     with pytest.raises(UnreadableBodyError, match=r"\w"):
-        minion_entry(entry(json.dumps(SERVER | changes).encode()))
+        parse_minion_entry(entry(json.dumps(SERVER | changes).encode()))
     with pytest.raises(UnreadableBodyError):
         text = {k: v for k, v in SERVER.items() if k not in changes}
-        minion_entry(entry(json.dumps(text | changes).encode()))
+        parse_minion_entry(entry(json.dumps(text | changes).encode()))
 
 
 @pytest.mark.parametrize("field", ["Service", "Address", "Zone", "State", "Capacity"])
 def test_an_entry_without_a_field_names_no_minion(field):
     text = json.dumps({k: v for k, v in SERVER.items() if k != field}).encode()
     with pytest.raises(UnreadableBodyError):
-        minion_entry(entry(text))
+        parse_minion_entry(entry(text))
 
 
 @pytest.mark.parametrize("name", ["servers/", "servers/a b", "servers/a\r\nx: y"])
 def test_a_key_that_is_no_id_names_no_minion(name):
     with pytest.raises(UnreadableBodyError):
-        minion_entry(entry(json.dumps(SERVER).encode(), name))
+        parse_minion_entry(entry(json.dumps(SERVER).encode(), name))
 
 
 def test_a_valid_entry_names_a_minion():
-    found = minion_entry(entry(json.dumps(SERVER).encode()))
+    found = parse_minion_entry(entry(json.dumps(SERVER).encode()))
     assert (found.id, found.host, found.port) == ("i-1", "10.0.0.1", 80)
     assert found.capacity.cpu_millis == 16_000
     assert not found.draining
--- a/tests/pool/test_cold_minions.py
+++ b/tests/pool/test_cold_minions.py
@@ -14,7 +14,7 @@
 
 from brasstray.batch.ids import RunNumber
 from brasstray.job.ids import MinionId
-from brasstray.platform.minion_listing import minion_entry
+from brasstray.platform.minion_listing import parse_minion_entry
 from brasstray.pool.durations import Durations
 from brasstray.pool.health_monitor import HealthMonitor
 from brasstray.pool.minion_entry import MinionEntry
@@ -143,7 +143,7 @@
     if told is not None:
         body["ColdLeftMs"] = told
     entry = StoreEntry("servers/i-1", json.dumps(body).encode(), 7)
-    assert minion_entry(entry).cold_left_ms == left_ms
+    assert parse_minion_entry(entry).cold_left_ms == left_ms
 
 
 def test_entries_that_differ_in_the_cold_time_alone_are_equal():
