--- a/src/brasstray/host/event_log.py
+++ b/src/brasstray/host/event_log.py
@@ -18,7 +18,7 @@
     from brasstray.job.ids import HostName
     from brasstray.metrics.pool_metrics import PoolMetrics
     from brasstray.pool.errors import StartRefusal
-    from brasstray.pool.lease_reckoning import LeaseReckoning
+    from brasstray.pool.lease_snapshot import LeaseSnapshot
     from brasstray.pool.minion import Minion
     from brasstray.pool.minion_health import Evidence
     from brasstray.pool.pool_task import TaskPhase
@@ -44,7 +44,7 @@
         self, active: ActiveBatch, result: BatchResult, elapsed: timedelta
     ) -> None:
         """Record the result of a job."""
-        objective = active.due - active.arrived
+        objective = active.due - active.submitted_at
         self._metrics.count_answer(result, elapsed, objective)
         reason = result.reason.value if result.reason else None
         log_message(
@@ -56,7 +56,7 @@
             reason=reason,
             took_ms=elapsed // _MILLISECOND,
             objective_ms=objective // _MILLISECOND,
-            timeout_ms=(active.limit - active.arrived) // _MILLISECOND,
+            timeout_ms=(active.limit - active.submitted_at) // _MILLISECOND,
             unfinished={
                 f"{step}.{index}": pool
                 for (step, index), pool in list(active.placed.items())[:8]
@@ -124,7 +124,7 @@
         )
 
     def leases_expired(
-        self, minion: Minion, reckoning: LeaseReckoning, *, certain: bool
+        self, minion: Minion, lease_snapshot: LeaseSnapshot, *, certain: bool
     ) -> None:
         """Record that the leases of all runs on an unreachable minion have expired."""
         self._metrics.count_reason("leases_expired" if certain else "expiry_uncertain")
@@ -134,10 +134,10 @@
             reach=minion.reach.value,
             runs=len(minion.runs),
             certain=certain,
-            asked=reckoning.asked,
-            until_ms=reckoning.until_ms,
-            clock_ms=reckoning.clock_ms,
-            shown_ago_ms=reckoning.shown_ago // _MILLISECOND,
+            asked=lease_snapshot.asked,
+            until_ms=lease_snapshot.until_ms,
+            clock_ms=lease_snapshot.clock_ms,
+            shown_ago_ms=lease_snapshot.clock_age // _MILLISECOND,
         )
 
     def recovered(
@@ -300,15 +300,15 @@
         """Record that another host was faster, or that the store gave no answer."""
         log_message("brasstray:pool_claim_failed", pool=pool, reason=reason)
 
-    def link_up(self, pool: PoolId, host: str) -> None:
+    def owner_reached(self, pool: PoolId, host: str) -> None:
         """Record that the owner of a pool is reachable."""
         log_message("brasstray:owner_reached", pool=pool, host=host)
 
-    def link_down(self, pool: PoolId, host: str, reason: str) -> None:
+    def owner_lost(self, pool: PoolId, host: str, reason: str) -> None:
         """Record that the owner of a pool is unreachable."""
         log_message("brasstray:owner_lost", pool=pool, host=host, reason=reason)
 
-    def requester_up(self, host: str) -> None:
+    def requester_reached(self, host: str) -> None:
         """Record that a host has opened a link to this one."""
         log_message("brasstray:requester_reached", host=host)
 
--- a/src/brasstray/host/host_status.py
+++ b/src/brasstray/host/host_status.py
@@ -89,7 +89,7 @@
     requesters: tuple[str, ...]
 
 
-async def current_status(host: PoolHost) -> HostStatus:
+async def confirmed_status(host: PoolHost) -> HostStatus:
     """Return the status of `host` after confirming its ownership with the store."""
     await host.confirm_owned()
     return host_status(host)
@@ -98,14 +98,14 @@
 def host_status(host: PoolHost) -> HostStatus:
     """Return the status of `host` as it is known without asking the store."""
     owner = host.owner
-    unlinked = host.unasked
+    unlinked = host.connectable
     return HostStatus(
         host=host.identity.host,
         incarnation=host.identity.incarnation,
         state=_state(host),
         config_version=host.config.version,
         evacuations=_evacuation_status(host.evacuations),
-        jobs=host.coordinator.active,
+        jobs=host.coordinator.active_count,
         owned=None
         if owner is None
         else _owned_pool_status(owner, host.owned_confirmed_ago),
@@ -167,6 +167,6 @@
     "MinionStatus",
     "OwnedPoolStatus",
     "OwnerStatus",
-    "current_status",
+    "confirmed_status",
     "host_status",
 ]
--- a/src/brasstray/host/pool_directory.py
+++ b/src/brasstray/host/pool_directory.py
@@ -22,7 +22,7 @@
     from brasstray.clock.clock import Clock
     from brasstray.host.host_events import HostEvents
     from brasstray.host.identity import HostIdentity
-    from brasstray.host.operator_knowledge import OperatorKnowledge
+    from brasstray.host.operator_state import OperatorState
     from brasstray.host.owner_record import OwnedPool
     from brasstray.host.timing import HostTiming
     from brasstray.peer.message.run_tasks import RunTasks
@@ -40,13 +40,13 @@
         clock: Clock,
         timing: HostTiming,
         events: HostEvents,
-        knowledge: OperatorKnowledge,
+        operator_state: OperatorState,
         on_message: Callable[[PoolId, PoolMessage], None],
         on_reachable: Callable[[PoolId, frozenset[TaskName]], None],
         has_tasks: Callable[[PoolId], bool],
     ) -> None:
         self._identity = identity
-        self._evacuations = knowledge.evacuations
+        self._evacuations = operator_state.evacuations
         self._clock = clock
         self._new_link = partial(
             PoolLink,
@@ -55,7 +55,7 @@
             clock=clock,
             timing=timing,
             events=events,
-            knowledge=knowledge,
+            operator_state=operator_state,
             on_message=on_message,
             on_reachable=on_reachable,
             keep_open=self._keeps_open,
@@ -119,7 +119,7 @@
         assert self._group is not None
         link = self._links[pool] = self._new_link(pool, owned)
         for request in unsent:
-            link.tell(request)
+            link.send(request)
         self._group.start_soon(link.run)
 
     def _notify_change(self) -> None:
@@ -149,11 +149,11 @@
     def set_local_pool(
         self,
         pool: PoolId,
-        tell: Callable[[PoolMessage], None],
+        send: Callable[[PoolMessage], None],
         load: Callable[[], PoolLoad],
     ) -> None:
-        """Route messages for `pool` to `tell`, as this host owns it now."""
-        self._local_pool, self._send_local, self._local_load = pool, tell, load
+        """Route messages for `pool` to `send`, as this host owns it now."""
+        self._local_pool, self._send_local, self._local_load = pool, send, load
         for link in self._links.values():
             link.request_connection()
 
@@ -170,7 +170,7 @@
             found[self._local_pool] = self._local_load()
         return found
 
-    def unasked(self) -> list[PoolId]:
+    def connectable(self) -> list[PoolId]:
         """Return the pools that are not reachable yet, but accept requests."""
         return [
             pool
@@ -180,18 +180,18 @@
 
     def is_evacuated(self, pool: PoolId) -> bool:
         """Return whether `pool` is evacuated: its minions start no new tasks."""
-        return self._evacuations.covers(pool)
+        return self._evacuations.is_evacuated(pool)
 
     def all_evacuated(self) -> bool:
         """Return whether every known pool is evacuated, and at least one is known."""
         return bool(self._owned) and all(map(self.is_evacuated, self._owned))
 
-    def tell(self, pool: PoolId, message: PoolMessage) -> None:
+    def send(self, pool: PoolId, message: PoolMessage) -> None:
         """Send `message` to the owner of `pool`; drop it if it cannot be delivered."""
         if pool == self._local_pool and self._send_local is not None:
             self._send_local(message)
         elif pool in self._links:
-            self._links[pool].tell(message)
+            self._links[pool].send(message)
 
     # Interface to the owner of the local pool (OtherPools)
 
@@ -200,9 +200,9 @@
         loads = self._all_loads()
         return {p: load for p, load in loads.items() if not self.is_evacuated(p)}
 
-    def expected(self) -> bool:
+    def any_connectable(self) -> bool:
         """Return whether a pool that is not evacuated may become reachable soon."""
-        return any(not self.is_evacuated(pool) for pool in self.unasked())
+        return any(not self.is_evacuated(pool) for pool in self.connectable())
 
     def _all_loads(self) -> dict[PoolId, PoolLoad]:
         found = {}
--- a/src/brasstray/host/pool_host.py
+++ b/src/brasstray/host/pool_host.py
@@ -14,7 +14,7 @@
 from brasstray.host.load_notifier import LoadNotifier
 from brasstray.host.local_requester import LocalRequester
 from brasstray.host.minion_feed import MinionFeed
-from brasstray.host.operator_knowledge import OperatorKnowledge
+from brasstray.host.operator_state import OperatorState
 from brasstray.host.ownership import Ownership
 from brasstray.host.pool_directory import PoolDirectory
 from brasstray.host.pool_handover import PoolHandover
@@ -44,8 +44,8 @@
     from brasstray.batch.queue import Queue
     from brasstray.host.current_config import CurrentConfig
     from brasstray.host.evacuations import Evacuations
+    from brasstray.host.host_dependencies import Events, HostDependencies
     from brasstray.host.identity import HostIdentity
-    from brasstray.host.outside import Events, Outside
     from brasstray.host.owner_record import OwnedPool
     from brasstray.host.timing import HostTiming
     from brasstray.job.ids import DataCentreName
@@ -61,27 +61,27 @@
     def __init__(
         self,
         identity: HostIdentity,
-        outside: Outside,
+        dependencies: HostDependencies,
         timing: HostTiming,
         remote_factor: float,
         data_centres: frozenset[DataCentreName] = frozenset(),
     ) -> None:
         self._identity = identity
-        self._outside = outside
+        self._dependencies = dependencies
         self._timing = timing
         self._remote_factor = remote_factor
-        self._clock = clock = outside.clock
-        self._events = events = outside.events
-        self._knowledge = OperatorKnowledge(
-            outside.operators, data_centres, clock, timing, events
+        self._clock = clock = dependencies.clock
+        self._events = events = dependencies.events
+        self._operator_state = OperatorState(
+            dependencies.operators, data_centres, clock, timing, events
         )
-        self._evacuations = self._knowledge.evacuations
+        self._evacuations = self._operator_state.evacuations
         self._pool = PoolId(str(identity.data_centre))
         self._requesters = RequesterLinks(identity.data_centre)
         self._minion_feed = MinionFeed(
             identity.data_centre,
-            outside.minion_list,
-            self._knowledge.config,
+            dependencies.minion_list,
+            self._operator_state.config,
             self._requesters,
             clock,
             timing,
@@ -89,11 +89,11 @@
         )
         self._directory = PoolDirectory(
             identity,
-            outside.opener,
+            dependencies.opener,
             clock,
             timing,
             events,
-            self._knowledge,
+            self._operator_state,
             self.handle_pool_message,
             lambda pool, sent: self._coordinator.claim(pool, sent),
             lambda pool: self._coordinator.has_tasks_at(pool),
@@ -105,10 +105,10 @@
         self._ownership = Ownership(
             self._pool,
             identity,
-            outside.store,
+            dependencies.store,
             self._directory,
             clock,
-            outside.random,
+            dependencies.random,
             timing,
             events,
             self._start_owner,
@@ -130,7 +130,12 @@
             clock, timing, lambda: self._owner, self._notify_other_owners
         )
         self._suspension_detector = SuspensionDetector(
-            clock, outside.uptime, timing, events, self._is_active, self._discard_state
+            clock,
+            dependencies.uptime,
+            timing,
+            events,
+            self._is_active,
+            self._discard_state,
         )
         self._drain_deadline: timedelta | None = None
         self._started_at: timedelta | None = None
@@ -153,7 +158,7 @@
     @property
     def config(self) -> CurrentConfig:
         """Return the configuration in force on this host."""
-        return self._knowledge.config
+        return self._operator_state.config
 
     @property
     def evacuations(self) -> Evacuations:
@@ -192,7 +197,7 @@
         return (
             not self._draining
             and self.config.current is not None
-            and bool(self._directory.reachable() or self._directory.unasked())
+            and bool(self._directory.reachable() or self._directory.connectable())
         )
 
     @property
@@ -206,9 +211,9 @@
         return set(self._directory.reachable())
 
     @property
-    def unasked(self) -> set[PoolId]:
+    def connectable(self) -> set[PoolId]:
         """Return the pools that are not reachable yet, but accept requests."""
-        return set(self._directory.unasked())
+        return set(self._directory.connectable())
 
     @property
     def links(self) -> list[RequesterLink]:
@@ -221,7 +226,7 @@
         async with anyio.create_task_group() as group:
             self._group = group
             self._directory.use_task_group(group)
-            group.start_soon(self._knowledge.run)
+            group.start_soon(self._operator_state.run)
             group.start_soon(self._follow_evacuations)
             group.start_soon(self._ownership.follow)
             group.start_soon(self._ownership.claim_when_vacant)
@@ -252,7 +257,7 @@
         await self._clock.sleep(time_left)
         self._coordinator.end_all_jobs()
 
-    async def first_config(self) -> Configuration | None:
+    async def wait_for_first_config(self) -> Configuration | None:
         """Return the configuration in force, or None if there is none.
 
         In the first `first_config_timeout` after its start, the host waits for one.
@@ -267,7 +272,7 @@
             )
             left = max(timedelta(0), self._timing.first_config_timeout - since)
             with anyio.move_on_after(left.total_seconds()):
-                await self.config.wait_known()
+                await self.config.wait_available()
         return self.config.current
 
     async def run_job(
@@ -297,15 +302,15 @@
         owner = self._owner = PoolOwner(
             self._pool,
             owned.token,
-            self._outside.minions,
+            self._dependencies.minions,
             self._clock,
             self._timing.pool,
             self._remote_factor,
             self._directory,
             self._events,
             lambda: self._ownership.confirm(owned),
-            self._minion_feed.held,
-            lambda: self._evacuations.covers(self._pool),
+            self._minion_feed.last_known_minions,
+            lambda: self._evacuations.is_evacuated(self._pool),
         )
         self._events.pool_taken(self._pool, owned.token, "claimed")
         self._handover.start_tenure()
@@ -318,7 +323,7 @@
     async def _run_owner(self, owner: PoolOwner, scope: anyio.CancelScope) -> None:
         with scope:
             async with anyio.create_task_group() as group:
-                group.start_soon(self._minion_feed.follow, owner)
+                group.start_soon(self._minion_feed.poll, owner)
                 await owner.run()
                 group.cancel_scope.cancel()
         if owner is self._owner and owner.deposed:
@@ -391,21 +396,23 @@
             await self._clock.sleep(self._timing.pool.requester_silence)
         self._events.requester_lost(link.name, reason)
         if self._owner is not None:
-            self._owner.lose_requester(link)
+            self._owner.drop_requester(link)
 
     def _handle_request(self, link: RequesterLink, message: PoolMessage) -> None:
         match message:
             case Hello():
                 link.record_hello(message)
-                self._events.requester_up(link.name)
+                self._events.requester_reached(link.name)
                 if self._owner is not None:
-                    self._minion_feed.tell(link)
+                    self._minion_feed.send_minions(link)
                     self._requesters.announce_successors()
-                self._knowledge.hear(link.name, message, link.tell)
+                self._operator_state.handle_heartbeat(link.name, message, link.send)
             case Ping():
-                self._knowledge.hear(link.name, message, link.tell)
+                self._operator_state.handle_heartbeat(link.name, message, link.send)
             case ConfigWanted() | ConfigPart():
-                self._knowledge.take(link.name, message, link.tell)
+                self._operator_state.handle_config_message(
+                    link.name, message, link.send
+                )
             case RunTasks():
                 if self._owner is not None:
                     self._owner.run_tasks(link, message)
@@ -434,18 +441,18 @@
                 self._directory.reset_reserved_slots(pool)
                 if message.free_slots and self._owner is not None:
                     self._owner.review()
-                tell = partial(self._directory.tell, pool)
-                self._knowledge.hear(str(pool), message, tell)
+                send = partial(self._directory.send, pool)
+                self._operator_state.handle_heartbeat(str(pool), message, send)
             case Successors() if pool == self._pool:
                 self._succession.set_successors(message.hosts)
             case PoolMinions() if pool == self._pool:
-                self._minion_feed.hear(message.minions)
+                self._minion_feed.record_minions(message.minions)
             case ConfigWanted() | ConfigPart():
-                tell = partial(self._directory.tell, pool)
-                self._knowledge.take(str(pool), message, tell)
+                send = partial(self._directory.send, pool)
+                self._operator_state.handle_config_message(str(pool), message, send)
 
     def _is_active(self) -> bool:
-        return self._owner is not None or self._coordinator.active > 0
+        return self._owner is not None or self._coordinator.active_count > 0
 
     def _discard_state(self) -> None:
         """Give up the pool and end every job, after a suspension.
