--- a/measure/log_cost.py
+++ b/measure/log_cost.py
@@ -14,7 +14,11 @@
 
 from brasstray.batch.outcome import BatchOutcome, BatchResult
 from brasstray.clock.loop import LoopClock
-from brasstray.log.bounded_output import MOST_LINES, MOST_LINES_A_SECOND, BoundedOutput
+from brasstray.log.bounded_output import (
+    MAX_BUFFERED_LINES,
+    MAX_LINES_PER_SECOND,
+    BoundedOutput,
+)
 from brasstray.metrics.pool_metrics import PoolMetrics
 from brasstray.metrics.prometheus_text import prometheus_text
 
@@ -64,12 +68,12 @@
 
     def lines() -> None:
         nonlocal written
-        for number in range(MOST_LINES_A_SECOND // ROUNDS):
+        for number in range(MAX_LINES_PER_SECOND // ROUNDS):
             _log_answer(number)
         output.flush()
         written += len(os.read(readable, 1 << 20))
 
-    count = MOST_LINES_A_SECOND // ROUNDS * ROUNDS
+    count = MAX_LINES_PER_SECOND // ROUNDS * ROUNDS
     cpu_us = _cpu_us_with_output(output, lambda: [lines() for _ in range(ROUNDS)])
     os.close(readable)
     os.close(writable)
@@ -78,12 +82,12 @@
 
 def _dropped_lines() -> CostRow:
     output = BoundedOutput(os.open(os.devnull, os.O_WRONLY), LoopClock())
-    for number in range(MOST_LINES):
+    for number in range(MAX_BUFFERED_LINES):
         output({"number": number})
     cpu_us = _cpu_us_with_output(
-        output, lambda: [_log_answer(n) for n in range(MOST_LINES)]
+        output, lambda: [_log_answer(n) for n in range(MAX_BUFFERED_LINES)]
     )
-    return CostRow("log line, dropped", cpu_us / MOST_LINES, 0.0)
+    return CostRow("log line, dropped", cpu_us / MAX_BUFFERED_LINES, 0.0)
 
 
 def _cpu_us_with_output(output: BoundedOutput, work: Callable[[], object]) -> float:
--- a/src/brasstray/command/trace.py
+++ b/src/brasstray/command/trace.py
@@ -52,7 +52,9 @@
 
 
 def _format_line(line: LogLine) -> str:
-    fields = " ".join(f"{name}={_format_value(v)}" for name, v in line.shown().items())
+    fields = " ".join(
+        f"{name}={_format_value(v)}" for name, v in line.displayed_fields().items()
+    )
     return f"{line.at:.3f} {line.host} {line.kind} {fields}"
 
 
@@ -74,7 +76,12 @@
 
 
 def _line_as_json(line: LogLine) -> dict[str, object]:
-    return {"at": line.at, "host": line.host, "kind": line.kind, **line.shown()}
+    return {
+        "at": line.at,
+        "host": line.host,
+        "kind": line.kind,
+        **line.displayed_fields(),
+    }
 
 
 __all__ = ["trace"]
--- a/src/brasstray/daemon/daemon.py
+++ b/src/brasstray/daemon/daemon.py
@@ -25,7 +25,7 @@
     from random import Random
 
     from brasstray.entry.config import EntryConfig
-    from brasstray.metrics.metrics import Metrics
+    from brasstray.metrics.entry_metrics import EntryMetrics
     from brasstray.settings.entry_settings import EntrySettings
 
 
@@ -38,7 +38,7 @@
         callers: socket.socket,
         peers: socket.socket,
         platform: HttpPlatform,
-        metrics: Metrics,
+        metrics: EntryMetrics,
         random: Random,
     ) -> None:
         self._config = config
@@ -112,7 +112,7 @@
                 return
 
 
-async def run_daemon(settings: EntrySettings, metrics: Metrics) -> None:
+async def run_daemon(settings: EntrySettings, metrics: EntryMetrics) -> None:
     """Run an entry host with `settings` until SIGTERM or SIGINT."""
     random = SystemRandom()
     platform = settings.platform
--- a/src/brasstray/daemon/main.py
+++ b/src/brasstray/daemon/main.py
@@ -15,7 +15,7 @@
 from result import Err, Ok
 
 from brasstray.daemon.daemon import run_daemon
-from brasstray.metrics.metrics import ReadableMetrics
+from brasstray.metrics.entry_metrics import InMemoryMetrics
 from brasstray.settings.entry_settings import read_entry_settings
 
 EXIT_INVALID_SETTINGS = 2
@@ -34,7 +34,7 @@
         case Ok(read):
             to_file(sys.stderr)
             logging.getLogger().addHandler(EliotHandler())
-            metrics = ReadableMetrics().metrics(read.entry.host)
+            metrics = InMemoryMetrics().metrics(read.entry.host)
             try:
                 anyio.run(partial(run_daemon, read, metrics), backend="asyncio")
             except OSError as error:
--- a/src/brasstray/dispatch/dispatch_context.py
+++ b/src/brasstray/dispatch/dispatch_context.py
@@ -14,7 +14,7 @@
     from brasstray.dispatch.minion_pool import MinionPool
     from brasstray.dispatch.retry_budget import RetryBudget
     from brasstray.dispatch.timing import DispatchTiming
-    from brasstray.metrics.metrics import Metrics
+    from brasstray.metrics.entry_metrics import EntryMetrics
     from brasstray.minion.minions import Minions
 
 
@@ -28,7 +28,7 @@
     clock: Clock
     random: Random
     timing: DispatchTiming
-    metrics: Metrics
+    metrics: EntryMetrics
     retry_budget: RetryBudget
 
 
--- a/src/brasstray/entry/entry_host.py
+++ b/src/brasstray/entry/entry_host.py
@@ -31,7 +31,7 @@
     from brasstray.entry.config import EntryConfig
     from brasstray.entry.surroundings import Surroundings
     from brasstray.job.ids import IncarnationId
-    from brasstray.metrics.metrics import Metrics
+    from brasstray.metrics.entry_metrics import EntryMetrics
     from brasstray.peer.messages import Message
 
 
@@ -146,7 +146,7 @@
         return self._journal_service
 
     @property
-    def metrics(self) -> Metrics:
+    def metrics(self) -> EntryMetrics:
         """Return this host's metrics."""
         return self._metrics
 
--- a/src/brasstray/entry/surroundings.py
+++ b/src/brasstray/entry/surroundings.py
@@ -9,7 +9,7 @@
     from random import Random
 
     from brasstray.clock.clock import Clock
-    from brasstray.metrics.metrics import Metrics
+    from brasstray.metrics.entry_metrics import EntryMetrics
     from brasstray.minion.minions import Minions
     from brasstray.peer.peers import Peers
     from brasstray.store.host_list import HostList
@@ -26,7 +26,7 @@
     host_list: HostList
     peers: Peers
     minions: Minions
-    metrics: Metrics
+    metrics: EntryMetrics
 
 
 __all__ = ["Surroundings"]
--- a/src/brasstray/log/bounded_output.py
+++ b/src/brasstray/log/bounded_output.py
@@ -16,8 +16,8 @@
 # The longest time that a line is buffered, so that a burst costs one system call.
 FLUSH_INTERVAL = timedelta(milliseconds=100)
 # About what a host logs in a second of the worst burst of failures; more is dropped.
-MOST_LINES = 1_000
-MOST_LINES_A_SECOND = 300
+MAX_BUFFERED_LINES = 1_000
+MAX_LINES_PER_SECOND = 300
 
 
 class BoundedOutput:
@@ -33,7 +33,7 @@
         self._lines: deque[bytes] = deque()
         self._dropped = 0
         self._unwritten = b""
-        self._tokens = float(MOST_LINES_A_SECOND)
+        self._tokens = float(MAX_LINES_PER_SECOND)
         self._refilled_at = timedelta(0)
         self._wake = anyio.Event()
 
@@ -45,7 +45,7 @@
     def __call__(self, message: dict[str, Any]) -> None:
         """Buffer one message, or drop it if it exceeds a limit."""
         self._wake.set()
-        if len(self._lines) >= MOST_LINES or self._tokens < 1:
+        if len(self._lines) >= MAX_BUFFERED_LINES or self._tokens < 1:
             self._dropped += 1
             return
         self._tokens -= 1
@@ -63,13 +63,13 @@
 
     def _refill(self) -> None:
         now = self._clock.monotonic()
-        refill = MOST_LINES_A_SECOND * (now - self._refilled_at).total_seconds()
-        self._tokens = min(float(MOST_LINES_A_SECOND), self._tokens + refill)
+        refill = MAX_LINES_PER_SECOND * (now - self._refilled_at).total_seconds()
+        self._tokens = min(float(MAX_LINES_PER_SECOND), self._tokens + refill)
         self._refilled_at = now
 
     def flush(self) -> None:
         """Write as many buffered bytes as the descriptor accepts without blocking."""
-        if self._dropped and len(self._lines) < MOST_LINES:
+        if self._dropped and len(self._lines) < MAX_BUFFERED_LINES:
             notice = {"message_type": "brasstray:lines_dropped", "count": self._dropped}
             self._dropped = 0
             self._lines.append(json.dumps(notice).encode() + b"\n")
--- a/src/brasstray/metrics/metrics.py
+++ b/src/brasstray/metrics/entry_metrics.py
@@ -15,7 +15,7 @@
 _REASON = "reason"
 
 
-class Metrics:
+class EntryMetrics:
     """Hold the counters of one entry host."""
 
     def __init__(self, meter: Meter) -> None:
@@ -44,16 +44,16 @@
         self._peer_calls.add(1, {"kind": kind})
 
 
-class ReadableMetrics:
+class InMemoryMetrics:
     """Keep counters in memory, for programs that print their totals."""
 
     def __init__(self) -> None:
         self._reader = InMemoryMetricReader()
         self._provider = MeterProvider([self._reader])
 
-    def metrics(self, host: str) -> Metrics:
+    def metrics(self, host: str) -> EntryMetrics:
         """Return the counters of `host`."""
-        return Metrics(self._provider.get_meter(host))
+        return EntryMetrics(self._provider.get_meter(host))
 
     def totals(self) -> dict[str, dict[str, int]]:
         """Return the sum over all hosts, by counter and attribute values."""
@@ -69,4 +69,4 @@
         return totals
 
 
-__all__ = ["Metrics", "ReadableMetrics"]
+__all__ = ["EntryMetrics", "InMemoryMetrics"]
--- a/src/brasstray/peer/websocket_peers.py
+++ b/src/brasstray/peer/websocket_peers.py
@@ -14,7 +14,7 @@
     from anyio.abc import TaskGroup
 
     from brasstray.job.ids import HostName, IncarnationId
-    from brasstray.metrics.metrics import Metrics
+    from brasstray.metrics.entry_metrics import EntryMetrics
     from brasstray.peer.messages import Message
     from brasstray.store.listed_host import ListedHost
 
@@ -27,7 +27,7 @@
         sender: IncarnationId,
         find_host: Callable[[HostName], ListedHost | None],
         group: TaskGroup,
-        metrics: Metrics,
+        metrics: EntryMetrics,
     ) -> None:
         self._sender = sender
         self._find_host = find_host
--- a/src/brasstray/trace/log_line.py
+++ b/src/brasstray/trace/log_line.py
@@ -42,7 +42,7 @@
         value = self.fields.get(name)
         return float(value) if isinstance(value, (int, float)) else 0.0
 
-    def shown(self) -> dict[str, object]:
+    def displayed_fields(self) -> dict[str, object]:
         """Return the fields to display: all but those of the library and null ones."""
         return {
             name: value
--- a/src/brasstray_standins/loopback_system.py
+++ b/src/brasstray_standins/loopback_system.py
@@ -17,7 +17,7 @@
 from brasstray.http.server import HttpServer, listen
 from brasstray.job.ids import DataCentreName, HostName, ServiceName
 from brasstray.job.incarnation import new_incarnation
-from brasstray.metrics.metrics import ReadableMetrics
+from brasstray.metrics.entry_metrics import InMemoryMetrics
 from brasstray.store.host_kind import HostKind
 from brasstray.store.http_platform import HttpPlatform
 from brasstray.store.listed_host import ListedHost
@@ -57,7 +57,7 @@
         self._random = Random(seed)
         self._clock = LoopClock()
         self.platform = MemoryPlatform(self._clock)
-        self.metrics = ReadableMetrics()
+        self.metrics = InMemoryMetrics()
         self.minions: list[StandInMinion] = []
         self.daemons: dict[str, RunningDaemon] = {}
         self.balancer = BalancerApp([], self._random)
--- a/src/brasstray_standins/memory_system.py
+++ b/src/brasstray_standins/memory_system.py
@@ -20,7 +20,7 @@
 from brasstray.job.incarnation import new_incarnation
 from brasstray.job.key import OwnKey
 from brasstray.job.request import JobRequest
-from brasstray.metrics.metrics import ReadableMetrics
+from brasstray.metrics.entry_metrics import InMemoryMetrics
 from brasstray.store.errors import StoreUnavailableError
 from brasstray.store.host_kind import HostKind
 from brasstray.store.listed_host import ListedHost
@@ -79,7 +79,7 @@
         self.clock = LoopClock(STARTED)
         self.platform = MemoryPlatform(self.clock)
         self.network = MemoryNetwork(self.clock)
-        self.counts = ReadableMetrics()
+        self.counts = InMemoryMetrics()
         self.data_centres = tuple(
             DataCentreName(f"dc-{number}") for number in range(self._size.data_centres)
         )
