--- a/measure/faults.py
+++ b/measure/faults.py
@@ -59,7 +59,7 @@
 
 async def slow_minion(system: MemorySystem) -> None:
     """Make one minion of eight ten times slower."""
-    system.minions["dc-0-minion-0"].slowness = 10.0
+    system.minions["dc-0-minion-0"].slowdown = 10.0
 
 
 async def killed_host(system: MemorySystem) -> None:
--- a/src/brasstray_standins/call_faults.py
+++ b/src/brasstray_standins/call_faults.py
@@ -24,7 +24,7 @@
 
 
 @dataclass
-class CallChaos:
+class RandomCallFaults:
     """Delay a share of all calls by up to `max_delay`, and lose other responses."""
 
     random: Random
@@ -46,4 +46,4 @@
         return self.random.random() * self.max_delay
 
 
-__all__ = ["CallChaos", "CallOutcome"]
+__all__ = ["RandomCallFaults", "CallOutcome"]
--- a/src/brasstray_standins/leased_minion.py
+++ b/src/brasstray_standins/leased_minion.py
@@ -32,13 +32,13 @@
 
 @dataclass
 class SimulatedRun:
-    """Hold a run, the work it has left at `updated_at`, and how it will end."""
+    """Hold a run, its remaining work at `updated_at`, and how it will end."""
 
     task: TaskName
     run: RunNumber
     needs: Resources
     work: timedelta
-    left: timedelta
+    remaining: timedelta
     updated_at: timedelta
     fails: bool
     stopped_at: timedelta | None = None
@@ -63,27 +63,27 @@
 
 
 @dataclass
-class RunBook:
+class RunRecorder:
     """Record the runs of all minions, to detect violated guarantees.
 
-    `broken` lists the violations as messages. `works` holds the work of individual
-    tasks; `usual` applies to all others.
+    `broken` lists the violations as messages. `work_by_task` holds the work of
+    individual tasks; `default_work` applies to all others.
     """
 
-    usual: Work
-    works: dict[TaskName, Work] = field(default_factory=dict)
+    default_work: Work
+    work_by_task: dict[TaskName, Work] = field(default_factory=dict)
     active: dict[TaskName, list[str]] = field(default_factory=dict)
-    noted: list[RecordedStart] = field(default_factory=list)
+    recorded_starts: list[RecordedStart] = field(default_factory=list)
     broken: list[str] = field(default_factory=list)
 
     @property
     def starts(self) -> list[TaskName]:
         """Return the started tasks, in order."""
-        return [noted.task for noted in self.noted]
+        return [start.task for start in self.recorded_starts]
 
     def work(self, task: TaskName) -> Work:
         """Return the resources and duration of `task`."""
-        return self.works.get(task, self.usual)
+        return self.work_by_task.get(task, self.default_work)
 
 
 class LeasedMinion:
@@ -97,17 +97,17 @@
         self,
         entry: MinionEntry,
         clock: Clock,
-        book: RunBook,
+        recorder: RunRecorder,
         clock_offset_ms: int = 1_000,
         clock_rate: float = 1.0,
     ) -> None:
         self.entry = entry
-        self.slowness = 1.0
+        self.slowdown = 1.0
         self.stuck = False
         self.failing = False
         self.alive = True
         self._clock = clock
-        self._run_book = book
+        self._recorder = recorder
         self._clock_offset_ms = clock_offset_ms
         self._clock_rate = clock_rate
         self._token = FencingToken(0)
@@ -152,9 +152,9 @@
                     self._end(run, RunEnd.STOPPED)
                 continue
             if not self.stuck:
-                run.left -= (now - run.updated_at) / self.slowness
+                run.remaining -= (now - run.updated_at) / self.slowdown
             run.updated_at = now
-            if run.left <= timedelta(0):
+            if run.remaining <= timedelta(0):
                 self._end(run, RunEnd.FAILED if run.fails else RunEnd.DONE)
             elif expired:
                 self._end(run, RunEnd.EXPIRED)
@@ -167,7 +167,7 @@
 
     def _remove_run(self, run: SimulatedRun) -> None:
         del self._runs[run.task]
-        self._run_book.active[run.task].remove(str(self.entry.id))
+        self._recorder.active[run.task].remove(str(self.entry.id))
 
     def _check_caller(self, entry: MinionEntry, token: FencingToken) -> None:
         if entry.id != self.entry.id:
@@ -198,7 +198,7 @@
             with anyio.move_on_after(wait.total_seconds()):
                 await self._run_ended.wait()
         active = tuple(
-            ActiveRun(run.task, run.run, round(100 * (1 - run.left / run.work)))
+            ActiveRun(run.task, run.run, round(100 * (1 - run.remaining / run.work)))
             for run in self._runs.values()
             if run.stopped_at is None
         )
@@ -222,13 +222,13 @@
         if self.clock_ms >= self._lease_until_ms:
             raise StartRefusedError(StartRefusal.LEASE_PASSED)
         self._highest_run[task] = run
-        work = self._run_book.work(task)
-        others = self._run_book.active.setdefault(task, [])
+        work = self._recorder.work(task)
+        others = self._recorder.active.setdefault(task, [])
         if others:
-            self._run_book.broken.append(f"{task} on {self.entry.id} and {others}")
+            self._recorder.broken.append(f"{task} on {self.entry.id} and {others}")
         others.append(str(self.entry.id))
         now = self._clock.monotonic()
-        self._run_book.noted.append(RecordedStart(task, self.entry, now))
+        self._recorder.recorded_starts.append(RecordedStart(task, self.entry, now))
         self._runs[task] = SimulatedRun(
             task,
             run,
@@ -246,7 +246,7 @@
         for run in self._runs.values():
             used = used + run.needs
         if not used.fits(self.entry.capacity):
-            self._run_book.broken.append(f"{self.entry.id} is over its capacity")
+            self._recorder.broken.append(f"{self.entry.id} is over its capacity")
 
     def stop(
         self,
@@ -279,7 +279,7 @@
 __all__ = [
     "LeasedMinion",
     "RecordedStart",
-    "RunBook",
+    "RunRecorder",
     "SimulatedRun",
     "Work",
     "tick_all",
--- a/src/brasstray_standins/leased_minions.py
+++ b/src/brasstray_standins/leased_minions.py
@@ -10,7 +10,7 @@
 import anyio
 
 from brasstray.pool.errors import MinionSilentError
-from brasstray_standins.call_chaos import CallChaos, CallOutcome
+from brasstray_standins.call_faults import CallOutcome, RandomCallFaults
 from brasstray_standins.gate import Gate
 
 if TYPE_CHECKING:
@@ -32,37 +32,40 @@
 
 
 class LeasedMinions:
-    """Call the minions in `places`; the faults affect this caller only.
+    """Call simulated minions; the faults affect this caller only.
 
     cut: minions that can't be reached.
     calls: the number of calls to each minion.
-    swallowed: how many of the next responses are lost.
-    late: how many of the next starts are executed after `lateness`, without response.
-    late_holds: how many of the next lease extensions are executed after `lateness`,
-        without response; the extension counts from when it arrives.
+    lost_responses: how many of the next responses are lost.
+    delayed_starts: how many of the next starts are executed after `call_delay`,
+        without response.
+    delayed_extensions: how many of the next lease extensions are executed after
+        `call_delay`, without response; the extension counts from when it arrives.
     ignored_stops: how many of the next stops are acknowledged but not executed.
-    effort: CPU time that each call takes of this caller, one call at a time.
-    chaos: random delays and losses of any call.
+    call_cpu_time: CPU time that each call takes of this caller, one call at a time.
+    random_faults: random delays and losses of any call.
     """
 
     def __init__(
         self,
-        places: dict[MinionId, LeasedMinion],
+        minions: dict[MinionId, LeasedMinion],
         clock: Clock,
         group: TaskGroup,
         gate: Gate | None = None,
     ) -> None:
         self.cut: set[MinionId] = set()
         self.calls: Counter[MinionId] = Counter()
-        self.swallowed = 0
-        self.late = 0
-        self.late_holds = 0
+        self.lost_responses = 0
+        self.delayed_starts = 0
+        self.delayed_extensions = 0
         self.ignored_stops = 0
-        self.lateness = timedelta(seconds=3)
-        self.effort = timedelta(0)
-        self.chaos = CallChaos(Random(0), delayed_share=0.0, unanswered_share=0.0)
+        self.call_delay = timedelta(seconds=3)
+        self.call_cpu_time = timedelta(0)
+        self.random_faults = RandomCallFaults(
+            Random(0), delayed_share=0.0, unanswered_share=0.0
+        )
         self._cpu_lock = anyio.Lock()
-        self._places = places
+        self._minions = minions
         self._clock = clock
         self._group = group
         self._gate = gate or Gate()
@@ -78,18 +81,18 @@
     ) -> ProbeReply:
         """Extend the lease of all runs, and wait up to `wait` for one to end."""
 
-        async def operation(place: LeasedMinion) -> ProbeReply:
-            return await place.hold(minion, token, acknowledged, until_ms, wait)
+        async def operation(target: LeasedMinion) -> ProbeReply:
+            return await target.hold(minion, token, acknowledged, until_ms, wait)
 
-        if until_ms is not None and self.late_holds > 0:
-            self.late_holds -= 1
-            lease_ms = until_ms - self._places[minion.id].clock_ms
+        if until_ms is not None and self.delayed_extensions > 0:
+            self.delayed_extensions -= 1
+            lease_ms = until_ms - self._minions[minion.id].clock_ms
 
-            async def extend(place: LeasedMinion) -> ProbeReply:
-                until = place.clock_ms + lease_ms
-                return await place.hold(minion, token, 0, until, timedelta(0))
+            async def extend(target: LeasedMinion) -> ProbeReply:
+                until = target.clock_ms + lease_ms
+                return await target.hold(minion, token, 0, until, timedelta(0))
 
-            await self._delay_call(minion, extend, timeout, self.lateness)
+            await self._delay_call(minion, extend, timeout, self.call_delay)
         return await self._call(minion, operation, timeout)
 
     async def start(
@@ -105,12 +108,12 @@
         """Start a run and return the minion's clock."""
         del spec
 
-        async def operation(place: LeasedMinion) -> int:
-            return place.start(minion, token, task, run, until_ms)
+        async def operation(target: LeasedMinion) -> int:
+            return target.start(minion, token, task, run, until_ms)
 
-        if self.late > 0:
-            self.late -= 1
-            await self._delay_call(minion, operation, timeout, self.lateness)
+        if self.delayed_starts > 0:
+            self.delayed_starts -= 1
+            await self._delay_call(minion, operation, timeout, self.call_delay)
         return await self._call(minion, operation, timeout)
 
     async def _delay_call(
@@ -132,10 +135,10 @@
         delay: timedelta,
     ) -> None:
         await self._clock.sleep(delay)
-        place = self._places[minion.id]
-        if place.alive:
+        target = self._minions[minion.id]
+        if target.alive:
             try:
-                await operation(place)
+                await operation(target)
             except Exception:  # noqa: BLE001, S110 - the caller has timed out
                 return
 
@@ -149,11 +152,11 @@
     ) -> None:
         """Stop a run, and have its start refused if that arrives later."""
 
-        async def operation(place: LeasedMinion) -> None:
+        async def operation(target: LeasedMinion) -> None:
             if self.ignored_stops > 0:
                 self.ignored_stops -= 1
                 return
-            place.stop(minion, token, task, run)
+            target.stop(minion, token, task, run)
 
         await self._call(minion, operation, timeout)
 
@@ -168,21 +171,21 @@
     ) -> _T:
         await self._gate.wait()
         self.calls[minion.id] += 1
-        outcome = self.chaos.draw()
+        outcome = self.random_faults.draw()
         if outcome is CallOutcome.LATE:
-            delay = self.chaos.draw_delay()
+            delay = self.random_faults.draw_delay()
             await self._delay_call(minion, operation, timeout, delay)
         with anyio.move_on_after(timeout.total_seconds()):
-            if self.effort:
+            if self.call_cpu_time:
                 async with self._cpu_lock:
-                    await self._clock.sleep(self.effort)
+                    await self._clock.sleep(self.call_cpu_time)
             await self._clock.sleep(ONE_WAY_DELAY)
-            place = self._places[minion.id]
-            if minion.id in self.cut or not place.alive:
+            target = self._minions[minion.id]
+            if minion.id in self.cut or not target.alive:
                 await anyio.sleep_forever()
-            answer = await operation(place)
-            if self.swallowed > 0:
-                self.swallowed -= 1
+            answer = await operation(target)
+            if self.lost_responses > 0:
+                self.lost_responses -= 1
                 await anyio.sleep_forever()
             if outcome is CallOutcome.UNANSWERED:
                 await anyio.sleep_forever()
--- a/src/brasstray_standins/memory_streams.py
+++ b/src/brasstray_standins/memory_streams.py
@@ -30,7 +30,7 @@
     """Track listening hosts, open streams and network partitions.
 
     A stream that a partition has cut stays silent after the partition has healed; new
-    streams work. `opening` is how long a stream takes to open. `rate` returns the
+    streams work. `open_delay` is how long a stream takes to open. `rate` returns the
     bandwidth of a host's link in bytes per second each way, or None for no limit.
     `sent` counts all messages.
     """
@@ -44,14 +44,14 @@
         self.listeners: dict[str, PoolHost] = {}
         self.partitions: dict[str, int] = {}
         self.streams: list[MemoryStream] = []
-        self.opening = ONE_WAY_DELAY
+        self.open_delay = ONE_WAY_DELAY
         self.sent = 0
 
     def cut(self, partitions: dict[str, int]) -> None:
         """Partition the network: only hosts with equal numbers can connect."""
         self.partitions = partitions
         for stream in self.streams:
-            if not self.connected(stream.here, stream.there):
+            if not self.connected(stream.local_host, stream.remote_host):
                 stream.silent = True
 
     def link_from(self, host: str) -> RateLimitedLink:
@@ -75,8 +75,8 @@
     def reset(self, host: str) -> None:
         """Close every stream of `host`, as happens when its process ends."""
         for stream in list(self.streams):
-            if host in (stream.here, stream.there):
-                stream.break_off()
+            if host in (stream.local_host, stream.remote_host):
+                stream.abort()
 
 
 class MemoryStream:
@@ -85,15 +85,15 @@
     def __init__(
         self,
         network: StreamNetwork,
-        here: str,
-        there: str,
+        local_host: str,
+        remote_host: str,
         clock: Clock,
         gate: Gate,
         sending: MemoryObjectSendStream[bytes],
         receiving: MemoryObjectReceiveStream[bytes],
     ) -> None:
-        self.here = here
-        self.there = there
+        self.local_host = local_host
+        self.remote_host = remote_host
         self.silent = False
         self._network = network
         self._clock = clock
@@ -106,10 +106,12 @@
         """Send `messages`; they are lost if a partition separates the hosts."""
         await self._gate.wait()
         self._network.sent += len(messages)
-        if self.silent or not self._network.connected(self.here, self.there):
+        if self.silent or not self._network.connected(
+            self.local_host, self.remote_host
+        ):
             return
         data = encode_frame(messages)
-        await self._network.link_from(self.here).transmit(len(data))
+        await self._network.link_from(self.local_host).transmit(len(data))
         try:
             await self._sending.send(data)
         except (anyio.ClosedResourceError, anyio.BrokenResourceError) as error:
@@ -122,15 +124,15 @@
         except (anyio.ClosedResourceError, anyio.EndOfStream) as error:
             raise StreamClosedError("closed") from error
         await self._clock.sleep(ONE_WAY_DELAY)
-        await self._network.link_to(self.here).transmit(len(data))
+        await self._network.link_to(self.local_host).transmit(len(data))
         await self._gate.wait()
         return decode_frame(data)
 
     async def aclose(self) -> None:
         """Close the stream."""
-        self.break_off()
+        self.abort()
 
-    def break_off(self) -> None:
+    def abort(self) -> None:
         """Close the stream immediately."""
         self._sending.close()
         self._receiving.close()
@@ -142,10 +144,10 @@
     """Open streams from one host."""
 
     def __init__(
-        self, network: StreamNetwork, here: str, clock: Clock, gate: Gate
+        self, network: StreamNetwork, local_host: str, clock: Clock, gate: Gate
     ) -> None:
         self._network = network
-        self._here = here
+        self._local_host = local_host
         self._clock = clock
         self._gate = gate
 
@@ -153,9 +155,9 @@
         """Return a new stream to the host called `address`."""
         del port
         await self._gate.wait()
-        await self._clock.sleep(self._network.opening)
+        await self._clock.sleep(self._network.open_delay)
         host = self._network.listeners.get(address)
-        if not self._network.connected(self._here, address):
+        if not self._network.connected(self._local_host, address):
             await self._clock.sleep(OPEN_TIMEOUT)
             raise StreamClosedError("the connection timed out")
         if host is None:
@@ -164,7 +166,7 @@
         to_local, from_remote = anyio.create_memory_object_stream[bytes](math.inf)
         local = MemoryStream(
             self._network,
-            self._here,
+            self._local_host,
             address,
             self._clock,
             self._gate,
@@ -174,7 +176,7 @@
         remote = MemoryStream(
             self._network,
             address,
-            self._here,
+            self._local_host,
             self._clock,
             host.gate,  # type: ignore[attr-defined]
             to_local,
--- a/src/brasstray_standins/minion.py
+++ b/src/brasstray_standins/minion.py
@@ -56,7 +56,7 @@
         self._starts: Counter[str] = Counter()
         self._killed = anyio.Event()
         self.mode = MinionMode.WORKING
-        self.slowness = 1.0
+        self.slowdown = 1.0
 
     @property
     def name(self) -> str:
@@ -95,7 +95,7 @@
 
     async def _work(self, task: str, payload: JsonValue) -> MinionResult:
         run_ms = payload.get("run_ms", 0) if isinstance(payload, dict) else 0
-        duration = timedelta(milliseconds=run_ms) * self.slowness  # type: ignore[arg-type]
+        duration = timedelta(milliseconds=run_ms) * self.slowdown  # type: ignore[arg-type]
         with anyio.move_on_after(duration.total_seconds()):
             await self._killed.wait()
             return MinionResult(MinionReply.LOST)
--- a/src/brasstray_standins/pool_system.py
+++ b/src/brasstray_standins/pool_system.py
@@ -27,7 +27,7 @@
 from brasstray.job.incarnation import new_incarnation
 from brasstray.pool.minion_entry import MinionEntry
 from brasstray_standins.gate import Gate, GatedClock
-from brasstray_standins.leased_minion import LeasedMinion, RunBook, Work, tick_all
+from brasstray_standins.leased_minion import LeasedMinion, RunRecorder, Work, tick_all
 from brasstray_standins.leased_minions import LeasedMinions
 from brasstray_standins.memory_store import MemoryStore, StoreView
 from brasstray_standins.memory_streams import (
@@ -52,8 +52,8 @@
 TICK = timedelta(milliseconds=1)
 STRONG_HOST_POWER = 4.0
 STRONG_HOST_LINK_FACTOR = 8.0
-USUAL_NEEDS = Resources(6_800, 64)
-USUAL_DURATION = timedelta(milliseconds=60)
+TASK_NEEDS = Resources(6_800, 64)
+TASK_DURATION = timedelta(milliseconds=60)
 
 
 @dataclass(frozen=True)
@@ -106,7 +106,7 @@
             version = int(json.loads(text)["version"])
         except (ValueError, KeyError) as error:
             raise UnreadableConfigError(str(error)) from error
-        return Configuration(ConfigVersion(version), (usual_queue(),), text=text)
+        return Configuration(ConfigVersion(version), (make_queue(),), text=text)
 
 
 def _data_centres_in(names: Iterable[str]) -> frozenset[DataCentreName]:
@@ -158,18 +158,16 @@
         self.gate.release()
 
 
-def usual_queue() -> Queue:
+def make_queue() -> Queue:
     """Return the queue of all jobs in a simulated system."""
     return Queue(
         QueueName("saldo"), "h", "/q/", SERVICE, 0, 3, 1.6, timedelta(milliseconds=60)
     )
 
 
-def usual_batch(
-    name: str, width: int = 4, estimate: timedelta = USUAL_DURATION
-) -> Batch:
-    """Return a batch of one step whose tasks have the usual needs."""
-    return Batch(BatchId(name), "", (Step(width, USUAL_NEEDS, estimate),))
+def make_batch(name: str, width: int = 4, estimate: timedelta = TASK_DURATION) -> Batch:
+    """Return a batch of one step whose tasks need `TASK_NEEDS`."""
+    return Batch(BatchId(name), "", (Step(width, TASK_NEEDS, estimate),))
 
 
 @dataclass
@@ -186,8 +184,8 @@
         self.random = Random(self.seed)
         self.store = MemoryStore(self.clock)
         self.network = StreamNetwork(self.clock, self._link_rate)
-        self.book = RunBook(Work(USUAL_NEEDS, USUAL_DURATION))
-        self.places: dict[MinionId, LeasedMinion] = {}
+        self.book = RunRecorder(Work(TASK_NEEDS, TASK_DURATION))
+        self.minions: dict[MinionId, LeasedMinion] = {}
         self.listed: list[MinionEntry] = []
         self.hosts: dict[str, RunningHost] = {}
         self.centres = [f"dc{n}" for n in range(self.size.data_centres)]
@@ -196,7 +194,7 @@
                 self.add_minion(f"{centre}-m{number}", centre)
         self.set_config(1)
         self.group.start_soon(
-            tick_all, lambda: list(self.places.values()), self.clock, TICK
+            tick_all, lambda: list(self.minions.values()), self.clock, TICK
         )
 
     def add_minion(self, name: str, centre: str) -> LeasedMinion:
@@ -214,7 +212,7 @@
         self.listed.append(entry)
         rate = self.size.minion_clock_rate
         minion = LeasedMinion(entry, self.clock, self.book, clock_rate=rate)
-        self.places[entry.id] = minion
+        self.minions[entry.id] = minion
         return minion
 
     def set_draining(self, name: MinionId) -> None:
@@ -241,8 +239,8 @@
 
     def starts_in(self, centre: str) -> list[timedelta]:
         """Return the times at which tasks started in a data centre."""
-        noted = self.book.noted
-        return [start.at for start in noted if start.minion.data_centre == centre]
+        recorded = self.book.recorded_starts
+        return [start.at for start in recorded if start.minion.data_centre == centre]
 
     def start_all(self) -> None:
         """Start every host."""
@@ -255,7 +253,7 @@
         gate = Gate()
         clock = GatedClock(self.clock, gate)
         store_view = StoreView(self.store, name, clock, self.network.link_to(name))
-        calls = LeasedMinions(self.places, clock, self.group, gate)
+        calls = LeasedMinions(self.minions, clock, self.group, gate)
         identity = HostIdentity(
             HostName(name),
             DataCentreName(centre),
@@ -319,7 +317,7 @@
         # the highest fencing token.
         return max(names, key=lambda n: self.hosts[n].host.owner.token)  # type: ignore[union-attr]
 
-    def other(self, centre: int = 0) -> str:
+    def non_owner(self, centre: int = 0) -> str:
         """Return the name of a host that does not own the pool of its data centre."""
         owner = self.owner(centre)
         return next(
@@ -338,16 +336,16 @@
     ) -> BatchResult:
         """Submit a batch to the host called `name` and return its result."""
         coordinator = self.hosts[name].host.coordinator
-        return await coordinator.run(batch, usual_queue(), timeout)
+        return await coordinator.run(batch, make_queue(), timeout)
 
 
 __all__ = [
     "CONFIG_KEY",
-    "USUAL_DURATION",
-    "USUAL_NEEDS",
+    "TASK_DURATION",
+    "TASK_NEEDS",
     "PoolSystem",
     "PoolSystemSize",
     "RunningHost",
-    "usual_batch",
-    "usual_queue",
+    "make_batch",
+    "make_queue",
 ]
--- a/tests/coordinator/test_coordinator.py
+++ b/tests/coordinator/test_coordinator.py
@@ -22,7 +22,7 @@
 from brasstray.peer.message.tasks_ended import TasksEnded
 from brasstray.peer.message.tasks_returned import TasksReturned
 from brasstray.pool.pool_load import PoolLoad
-from brasstray_standins.pool_system import usual_batch, usual_queue
+from brasstray_standins.pool_system import make_batch, make_queue
 
 HOME, AWAY = PoolId("home"), PoolId("away")
 JOB = BatchId("a" * 16)
@@ -78,7 +78,7 @@
 
         async def run():
             found = await coordinator.run(
-                batch or usual_batch(JOB, 2), usual_queue(), CALLER_TIMEOUT
+                batch or make_batch(JOB, 2), make_queue(), CALLER_TIMEOUT
             )
             results.append((found, anyio.current_time() - began))
 
@@ -252,7 +252,7 @@
     def steps(coordinator, pools):
         coordinator.handle_tasks_returned(HOME, returned_evacuated(AWAY))
 
-    _, _, pools = with_coordinator(steps, usual_batch(JOB, 2))
+    _, _, pools = with_coordinator(steps, make_batch(JOB, 2))
     assert [(p, m.forwarded) for p, m in pools.runs()] == [(HOME, False), (AWAY, False)]
 
 
@@ -267,7 +267,7 @@
         pools.evacuated.add(AWAY)
         coordinator.handle_tasks_returned(AWAY, returned_evacuated(HOME))
 
-    result, took, pools = with_coordinator(steps, usual_batch(JOB, 2))
+    result, took, pools = with_coordinator(steps, make_batch(JOB, 2))
     assert (result.outcome, result.reason) == (
         BatchOutcome.NOT_RUN,
         GiveUpReason.EVACUATED,
@@ -285,5 +285,5 @@
             HOME, returned_evacuated(PoolId("unheard of"))
         )
 
-    _, _, pools = with_coordinator(steps, usual_batch(JOB, 2))
+    _, _, pools = with_coordinator(steps, make_batch(JOB, 2))
     assert [pool for pool, _ in pools.runs()] == [HOME, AWAY]
--- a/tests/host/load.py
+++ b/tests/host/load.py
@@ -7,7 +7,7 @@
 import anyio
 
 from brasstray.batch.outcome import BatchOutcome
-from brasstray_standins.pool_system import usual_batch
+from brasstray_standins.pool_system import make_batch
 
 
 class Load:
@@ -30,7 +30,7 @@
     async def submit(self, job, name):
         running = self._system.hosts[name]
         began = self._system.clock.monotonic()
-        result = await self._system.submit(name, usual_batch(job, self._width))
+        result = await self._system.submit(name, make_batch(job, self._width))
         if self._system.hosts.get(name) is running:
             took = self._system.clock.monotonic() - began
             self.results[job] = (name, result, took)
--- a/tests/host/storm.py
+++ b/tests/host/storm.py
@@ -13,9 +13,9 @@
 from brasstray.batch.outcome import BatchOutcome
 from brasstray.batch.step import Step
 from brasstray.batch.task_name import TaskName
-from brasstray_standins.call_chaos import CallChaos
+from brasstray_standins.call_faults import RandomCallFaults
 from brasstray_standins.leased_minion import Work
-from brasstray_standins.pool_system import USUAL_NEEDS, PoolSystemSize
+from brasstray_standins.pool_system import TASK_NEEDS, PoolSystemSize
 
 SIZE = PoolSystemSize(
     data_centres=2, hosts_each=3, minions_each=3, minion_clock_rate=0.98
@@ -52,14 +52,14 @@
 
     async def run(self):
         for running in self.system.hosts.values():
-            self._add_call_chaos(running)
+            self._add_random_faults(running)
         async with anyio.create_task_group() as group:
             group.start_soon(self._submit_all, group)
             group.start_soon(self._inject_faults, group)
         await self.system.clock.sleep(SETTLE_TIME)
 
-    def _add_call_chaos(self, running):
-        running.calls.chaos = CallChaos(
+    def _add_random_faults(self, running):
+        running.calls.random_faults = RandomCallFaults(
             self.random, self.late, self.unanswered, MAX_CALL_DELAY
         )
 
@@ -72,10 +72,10 @@
             job = f"{number:016x}"
             number += 1
             width = self.random.randint(1, 3)
-            work = Work(USUAL_NEEDS, ms(self.random.choice(DURATIONS_MS)))
+            work = Work(TASK_NEEDS, ms(self.random.choice(DURATIONS_MS)))
             for index in range(width):
-                self.system.book.works[TaskName(BatchId(job), 0, index)] = work
-            batch = Batch(BatchId(job), "", (Step(width, USUAL_NEEDS, work.duration),))
+                self.system.book.work_by_task[TaskName(BatchId(job), 0, index)] = work
+            batch = Batch(BatchId(job), "", (Step(width, TASK_NEEDS, work.duration),))
             group.start_soon(self._submit_with_resend, batch)
             await self.system.clock.sleep(ms(self.random.randint(100, 300)))
 
@@ -135,7 +135,7 @@
 
     def _restart(self, name):
         if name not in self.system.hosts:
-            self._add_call_chaos(self.system.start(name, name.partition("-")[0]))
+            self._add_random_faults(self.system.start(name, name.partition("-")[0]))
 
     async def _kill_twice(self):
         """Kill an owner, and then its successor while that one recovers."""
@@ -172,7 +172,7 @@
 
     async def _silence(self):
         """Disconnect some hosts from a minion for a while."""
-        minion = self.random.choice(sorted(self.system.places))
+        minion = self.random.choice(sorted(self.system.minions))
         hosts = [
             running
             for running in self.system.hosts.values()
--- a/tests/host/test_evacuation.py
+++ b/tests/host/test_evacuation.py
@@ -16,9 +16,9 @@
 from brasstray.batch.outcome import BatchOutcome, GiveUpReason
 from brasstray_standins.leased_minion import Work
 from brasstray_standins.pool_system import (
-    USUAL_NEEDS,
+    TASK_NEEDS,
     PoolSystemSize,
-    usual_batch,
+    make_batch,
 )
 
 SECOND = timedelta(seconds=1)
@@ -55,7 +55,7 @@
 
 
 async def kill_owner_and_refuse_successor(system):
-    system.store.cut.add(system.other())
+    system.store.cut.add(system.non_owner())
     system.kill(system.owner())
 
 
@@ -150,12 +150,12 @@
     size = PoolSystemSize(data_centres=2, hosts_each=2, minions_each=1)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(700))
+        system.book.default_work = Work(TASK_NEEDS, ms(700))
         found = {}
 
         async def submit(job, centre):
             began = system.clock.monotonic()
-            batch = usual_batch(job * 16, 2, ms(700))
+            batch = make_batch(job * 16, 2, ms(700))
             result = await system.submit(system.owner(centre), batch)
             found[job] = (result.outcome, system.clock.monotonic() - began)
 
@@ -170,7 +170,7 @@
     outcomes = [outcome for outcome, _ in found.values()]
     assert outcomes == [BatchOutcome.SUCCEEDED] * 3
     assert found["c"][1] < ms(1_450)
-    assert [start.minion.data_centre for start in system.book.noted] == (
+    assert [start.minion.data_centre for start in system.book.recorded_starts] == (
         ["dc0"] * 2 + ["dc1"] * 4
     )
 
@@ -184,7 +184,7 @@
         await system.clock.sleep(SECOND)
         began = system.clock.monotonic()
         results = [
-            await system.submit(name, usual_batch(f"{number:016x}"))
+            await system.submit(name, make_batch(f"{number:016x}"))
             for number, name in enumerate(system.hosts)
         ]
         return results, system.clock.monotonic() - began
--- a/tests/host/test_flapping.py
+++ b/tests/host/test_flapping.py
@@ -14,7 +14,7 @@
 
 from brasstray.batch.outcome import BatchOutcome
 from brasstray_standins.leased_minion import Work
-from brasstray_standins.pool_system import USUAL_NEEDS, PoolSystemSize
+from brasstray_standins.pool_system import TASK_NEEDS, PoolSystemSize
 
 SIZE = PoolSystemSize(data_centres=1, hosts_each=3, minions_each=8)
 PERIOD = timedelta(milliseconds=910)
@@ -45,7 +45,7 @@
     # extended a lease, so their jobs were given up: 39 jobs on a day with 21 flapping
     # minions of 176, all started there after the minion was known to flap.
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(duration_ms))
+        system.book.default_work = Work(TASK_NEEDS, ms(duration_ms))
         names = [entry.id for entry in system.listed[:flapping]]
         async with anyio.create_task_group() as group:
             load = Load(system, group, interval=ms(interval))
--- a/tests/host/test_host_status.py
+++ b/tests/host/test_host_status.py
@@ -13,7 +13,7 @@
 
 def test_an_owner_shows_its_pool_and_others_where_it_is(play_pools):
     async def scenario(system):
-        owner, other = system.owner(), system.other()
+        owner, other = system.owner(), system.non_owner()
         return {
             name: host_status(system.hosts[name].host) for name in (owner, other)
         }, owner
@@ -62,7 +62,7 @@
 
 def test_a_draining_host_reports_it(play_pools):
     async def scenario(system):
-        host = system.hosts[system.other()].host
+        host = system.hosts[system.non_owner()].host
         host.drain()
         return host_status(host).state
 
--- a/tests/host/test_leaving.py
+++ b/tests/host/test_leaving.py
@@ -10,10 +10,10 @@
 from brasstray.batch.outcome import BatchOutcome, GiveUpReason
 from brasstray_standins.leased_minion import Work
 from brasstray_standins.pool_system import (
-    USUAL_NEEDS,
+    TASK_NEEDS,
     PoolSystemSize,
-    usual_batch,
-    usual_queue,
+    make_batch,
+    make_queue,
 )
 
 TIMEOUT = timedelta(seconds=3)
@@ -41,13 +41,13 @@
     # cannot complete in time it is not run, and the caller is told immediately, while
     # it can still submit the job elsewhere.
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(duration_ms))
-        host = system.hosts[system.other()].host
+        system.book.default_work = Work(TASK_NEEDS, ms(duration_ms))
+        host = system.hosts[system.non_owner()].host
         host.drain(GRACE)
         await system.clock.sleep(GRACE - ms(left_ms))
         began = system.clock.monotonic()
-        batch = usual_batch("a" * 16, 2, ms(duration_ms))
-        result = await host.run_job(batch, usual_queue(), TIMEOUT)
+        batch = make_batch("a" * 16, 2, ms(duration_ms))
+        result = await host.run_job(batch, make_queue(), TIMEOUT)
         return result, system.clock.monotonic() - began
 
     (result, took), system = play_pools(scenario)
@@ -65,13 +65,13 @@
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=1)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(10_000))
-        host = system.hosts[system.other()].host
+        system.book.default_work = Work(TASK_NEEDS, ms(10_000))
+        host = system.hosts[system.non_owner()].host
         found = {}
 
         async def submit(name):
-            batch = usual_batch(name * 16, 2, ms(500))
-            found[name] = await host.run_job(batch, usual_queue(), 2 * TIMEOUT)
+            batch = make_batch(name * 16, 2, ms(500))
+            found[name] = await host.run_job(batch, make_queue(), 2 * TIMEOUT)
             found[name + " at"] = system.clock.monotonic()
 
         began = system.clock.monotonic()
--- a/tests/host/test_links.py
+++ b/tests/host/test_links.py
@@ -11,7 +11,7 @@
 from brasstray.batch.outcome import BatchOutcome
 from brasstray.host.pool_link import IDLE_TIMEOUT
 from brasstray_standins.leased_minion import Work
-from brasstray_standins.pool_system import USUAL_NEEDS, PoolSystemSize, usual_batch
+from brasstray_standins.pool_system import TASK_NEEDS, PoolSystemSize, make_batch
 
 SECOND = timedelta(seconds=1)
 
@@ -63,11 +63,11 @@
     size = PoolSystemSize(data_centres=2, hosts_each=3, minions_each=4)
 
     async def scenario(system):
-        name = system.other(0)
+        name = system.non_owner(0)
         idle = count_links(system)
         async with anyio.create_task_group() as group:
             for number in range(6):
-                job = usual_batch(f"{number:016x}", 3)
+                job = make_batch(f"{number:016x}", 3)
                 group.start_soon(system.submit, name, job)
             await system.clock.sleep(SECOND / 20)
             busy = count_links(system)
@@ -112,7 +112,7 @@
         system.network.cut(dict.fromkeys(names, 1))
         await system.clock.sleep(SECOND)
         began = system.clock.monotonic()
-        result = await system.submit(names[0], usual_batch("a" * 16, 2))
+        result = await system.submit(names[0], make_batch("a" * 16, 2))
         return result.outcome, system.clock.monotonic() - began
 
     (outcome, took), system = play_pools(scenario)
@@ -128,11 +128,11 @@
     async def scenario(system):
         system.store.down = True
         system.kill(system.owner(0))
-        system.network.opening = SECOND / 5
+        system.network.open_delay = SECOND / 5
         await system.clock.sleep(SECOND)
         name = next(name for name in system.hosts if name.startswith("dc0"))
         with anyio.move_on_after(0.05):
-            await system.submit(name, usual_batch("a" * 16, 2))
+            await system.submit(name, make_batch("a" * 16, 2))
         await system.clock.sleep(2 * SECOND)
 
     _, system = play_pools(scenario)
@@ -146,13 +146,13 @@
     size = PoolSystemSize(data_centres=2, hosts_each=3, minions_each=4)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, SECOND / 2)
-        name = system.other(0)
-        system.network.opening = SECOND / 20
+        system.book.default_work = Work(TASK_NEEDS, SECOND / 2)
+        name = system.non_owner(0)
+        system.network.open_delay = SECOND / 20
         began = system.clock.monotonic()
         async with anyio.create_task_group() as group:
             for number in range(6):
-                job = usual_batch(f"{number:016x}", 2, SECOND / 2)
+                job = make_batch(f"{number:016x}", 2, SECOND / 2)
                 group.start_soon(system.submit, name, job)
                 await system.clock.sleep(SECOND / 1_000)
         return system.clock.monotonic() - began
@@ -175,16 +175,16 @@
         results = []
 
         async def submit(job):
-            results.append(await system.submit(name, usual_batch(job * 16, 2)))
+            results.append(await system.submit(name, make_batch(job * 16, 2)))
 
-        system.book.usual = Work(USUAL_NEEDS, SECOND / 2)
+        system.book.default_work = Work(TASK_NEEDS, SECOND / 2)
         async with anyio.create_task_group() as group:
             group.start_soon(submit, "a")
             await system.clock.sleep(SECOND / 10)
-            system.network.opening = SECOND / 10
+            system.network.open_delay = SECOND / 10
             for stream in list(system.network.streams):
-                if name in (stream.here, stream.there):
-                    stream.break_off()
+                if name in (stream.local_host, stream.remote_host):
+                    stream.abort()
             await system.clock.sleep(SECOND / 50)
             group.start_soon(submit, "b")
         return [result.outcome for result in results]
--- a/tests/host/test_load_sharing.py
+++ b/tests/host/test_load_sharing.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brasstray_standins.leased_minion import Work
-from brasstray_standins.pool_system import USUAL_NEEDS, PoolSystemSize, usual_batch
+from brasstray_standins.pool_system import TASK_NEEDS, PoolSystemSize, make_batch
 
 
 def ms(count):
@@ -23,18 +23,23 @@
     size = PoolSystemSize(data_centres=2, minions_each=1)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(600))
+        system.book.default_work = Work(TASK_NEEDS, ms(600))
         async with anyio.create_task_group() as group:
-            for job, host in (("a" * 16, system.other(0)), ("b" * 16, system.other(1))):
-                long = usual_batch(job, 2, ms(600))
+            for job, host in (
+                ("a" * 16, system.non_owner(0)),
+                ("b" * 16, system.non_owner(1)),
+            ):
+                long = make_batch(job, 2, ms(600))
                 group.start_soon(system.submit, host, long)
             await system.clock.sleep(ms(150))
-            system.book.usual = Work(USUAL_NEEDS, ms(60))
-            group.start_soon(system.submit, system.other(0), usual_batch("c" * 16, 1))
+            system.book.default_work = Work(TASK_NEEDS, ms(60))
+            group.start_soon(
+                system.submit, system.non_owner(0), make_batch("c" * 16, 1)
+            )
             await system.clock.sleep(ms(offset))
             before = len(system.book.starts)
-            for run in system.places["dc1-m0"].runs:
-                run.left = ms(1)
+            for run in system.minions["dc1-m0"].runs:
+                run.remaining = ms(1)
             began = system.clock.monotonic()
             while len(system.book.starts) == before:
                 await system.clock.sleep(ms(1))
--- a/tests/host/test_orphaned_tasks.py
+++ b/tests/host/test_orphaned_tasks.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brasstray_standins.leased_minion import Work
-from brasstray_standins.pool_system import USUAL_NEEDS, PoolSystemSize, usual_batch
+from brasstray_standins.pool_system import TASK_NEEDS, PoolSystemSize, make_batch
 
 SECOND = timedelta(seconds=1)
 SIZE = PoolSystemSize(data_centres=1, hosts_each=3, minions_each=2)
@@ -19,7 +19,7 @@
 
 
 def running(system):
-    return {name for place in system.places.values() for name in place.running}
+    return {name for target in system.minions.values() for name in target.running}
 
 
 @pytest.mark.parametrize("cancelled_after", [20, 500, 1_500])
@@ -29,11 +29,11 @@
     # caller has cancelled the job, and the coordinator or the owner may have died. The
     # run that then starts must be stopped.
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, 60 * SECOND)
-        owner, name = system.owner(), system.other()
+        system.book.default_work = Work(TASK_NEEDS, 60 * SECOND)
+        owner, name = system.owner(), system.non_owner()
         calls = system.hosts[owner].calls
-        calls.late, calls.lateness = 2, ms(2_000)
-        batch = usual_batch("a" * 16, 2, 2 * SECOND)
+        calls.delayed_starts, calls.call_delay = 2, ms(2_000)
+        batch = make_batch("a" * 16, 2, 2 * SECOND)
         async with anyio.create_task_group() as group:
             group.start_soon(system.submit, name, batch, 10 * SECOND)
             await system.clock.sleep(ms(cancelled_after))
@@ -58,9 +58,9 @@
     # or loses its caller with the coordinator. The owner, or the next one, finds a run
     # that no host requests, and stops it.
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, 60 * SECOND)
-        owner, name = system.owner(), system.other()
-        batch = usual_batch("b" * 16, 2, 2 * SECOND)
+        system.book.default_work = Work(TASK_NEEDS, 60 * SECOND)
+        owner, name = system.owner(), system.non_owner()
+        batch = make_batch("b" * 16, 2, 2 * SECOND)
         async with anyio.create_task_group() as group:
             group.start_soon(system.submit, name, batch, 10 * SECOND)
             await system.clock.sleep(ms(300))
--- a/tests/host/test_overload.py
+++ b/tests/host/test_overload.py
@@ -13,7 +13,7 @@
 import pytest
 
 from brasstray.batch.outcome import BatchOutcome
-from brasstray_standins.pool_system import PoolSystemSize, usual_batch
+from brasstray_standins.pool_system import PoolSystemSize, make_batch
 
 SIZE = PoolSystemSize(data_centres=1, minions_each=4)
 JOBS = 150
@@ -30,7 +30,7 @@
         async def submit(number):
             name = sorted(system.hosts)[number % 3]
             began = system.clock.monotonic()
-            batch = usual_batch(f"{number:016x}", TASKS)
+            batch = make_batch(f"{number:016x}", TASKS)
             result = await system.submit(name, batch, timedelta(seconds=2))
             results.append((result, system.clock.monotonic() - began))
 
--- a/tests/host/test_owners_killed_in_a_row.py
+++ b/tests/host/test_owners_killed_in_a_row.py
@@ -8,7 +8,7 @@
 import pytest
 
 from brasstray_standins.leased_minion import Work
-from brasstray_standins.pool_system import USUAL_NEEDS, PoolSystemSize, usual_batch
+from brasstray_standins.pool_system import TASK_NEEDS, PoolSystemSize, make_batch
 
 SIZE = PoolSystemSize(data_centres=2, hosts_each=3, minions_each=3)
 # How long the callers in the users' programs wait before they submit a job again.
@@ -37,8 +37,8 @@
     """A job submitted again elsewhere does not run alongside its orphaned runs."""
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(4_000))
-        batch = usual_batch(JOB, 2, ms(4_000))
+        system.book.default_work = Work(TASK_NEEDS, ms(4_000))
+        batch = make_batch(JOB, 2, ms(4_000))
         first = system.owner()
         async with anyio.create_task_group() as group:
             scope = anyio.CancelScope()
--- a/tests/host/test_pool_failures.py
+++ b/tests/host/test_pool_failures.py
@@ -20,9 +20,9 @@
 from brasstray_standins.leased_minion import Work
 from brasstray_standins.pool_system import (
     CONFIG_KEY,
-    USUAL_NEEDS,
+    TASK_NEEDS,
     PoolSystemSize,
-    usual_batch,
+    make_batch,
 )
 
 SECOND = timedelta(seconds=1)
@@ -165,15 +165,15 @@
     # host 1.3 s later. By then no task of the first try may still run, or the same task
     # would run twice at the same time.
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(2_500))
-        name = system.other()
+        system.book.default_work = Work(TASK_NEEDS, ms(2_500))
+        name = system.non_owner()
         async with anyio.create_task_group() as group:
             load = Load(system, group)
             group.start_soon(load.submit, "a" * 16, name)
             await system.clock.sleep(ms(300))
             system.kill(name)
             await system.clock.sleep(ms(1_250))
-            return [m.running for m in system.places.values() if m.running]
+            return [m.running for m in system.minions.values() if m.running]
 
     still_running, system = play_pools(scenario)
     assert still_running == []
@@ -185,8 +185,8 @@
     # of that job. When it resumes, it must neither start them again beside the job that
     # the client has resubmitted elsewhere, nor answer that they did not run.
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(900))
-        name = system.other()
+        system.book.default_work = Work(TASK_NEEDS, ms(900))
+        name = system.non_owner()
         gate = system.hosts[name].gate
         async with anyio.create_task_group() as group:
             load = Load(system, group)
@@ -206,7 +206,12 @@
 
 @pytest.mark.parametrize(
     ("what", "count"),
-    [("swallowed", 1), ("swallowed", 5), ("late", 1), ("late", 6)],
+    [
+        ("lost_responses", 1),
+        ("lost_responses", 5),
+        ("delayed_starts", 1),
+        ("delayed_starts", 6),
+    ],
 )
 def test_answers_of_minions_are_lost_or_orders_come_late(play_pools, what, count):
     # A minion does not answer a start: it has started the task, or starts it seconds
@@ -232,7 +237,7 @@
     # and it must get no more tasks until it has proved to work.
     async def scenario(system):
         async def inject_fault():
-            minion = system.places["dc0-m1"]
+            minion = system.minions["dc0-m1"]
             if failure == "crashed":
                 minion.crash()
             elif failure == "cut off":
@@ -244,7 +249,7 @@
             elif failure == "stuck":
                 minion.stuck = True
             elif failure == "slow":
-                minion.slowness = 8.0
+                minion.slowdown = 8.0
             else:
                 minion.failing = True
 
@@ -261,8 +266,8 @@
     # A task that always fails is answered as failed after its last attempt, and the
     # minions that ran it are not suspected because of one bad job.
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(60), fails=True)
-        result = await system.submit(system.other(), usual_batch("c" * 16, 1))
+        system.book.default_work = Work(TASK_NEEDS, ms(60), fails=True)
+        result = await system.submit(system.non_owner(), make_batch("c" * 16, 1))
         owner = system.hosts[system.owner()].host.owner
         return result, [m.health.suspected for m in owner.minions]
 
@@ -277,14 +282,14 @@
     # A caller disconnects, so the result is no longer needed. Its queued tasks are
     # dropped and its running tasks are stopped, which frees capacity for other jobs.
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(2_000))
+        system.book.default_work = Work(TASK_NEEDS, ms(2_000))
         async with anyio.create_task_group() as group:
             load = Load(system, group)
-            group.start_soon(load.submit, "d" * 16, system.other())
+            group.start_soon(load.submit, "d" * 16, system.non_owner())
             await system.clock.sleep(ms(200))
             group.cancel_scope.cancel()
         await system.clock.sleep(ms(100))
-        return [m.running for m in system.places.values() if m.running]
+        return [m.running for m in system.minions.values() if m.running]
 
     still_running, _ = play_pools(scenario)
     assert still_running == []
@@ -297,18 +302,18 @@
     size = PoolSystemSize(data_centres=1, minions_each=2)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(400))
+        system.book.default_work = Work(TASK_NEEDS, ms(400))
         async with anyio.create_task_group() as group:
             scope = anyio.CancelScope()
 
             async def disconnect():
                 with scope:
-                    await system.submit(system.other(), usual_batch("d" * 16, 4))
+                    await system.submit(system.non_owner(), make_batch("d" * 16, 4))
 
             group.start_soon(disconnect)
             await system.clock.sleep(ms(50))
             load = Load(system, group)
-            group.start_soon(load.submit, "e" * 16, system.other())
+            group.start_soon(load.submit, "e" * 16, system.non_owner())
             await system.clock.sleep(ms(50))
             scope.cancel()
             await system.clock.sleep(SECOND)
@@ -326,14 +331,14 @@
     size = PoolSystemSize(data_centres=1, minions_each=2)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(2_000))
+        system.book.default_work = Work(TASK_NEEDS, ms(2_000))
         name = system.owner()
         async with anyio.create_task_group() as group:
             load = Load(system, group, width=4)
             group.start_soon(load.submit, "a" * 16, name)
             await system.clock.sleep(ms(50))
             system.kill(name)
-            system.book.usual = Work(USUAL_NEEDS, ms(100))
+            system.book.default_work = Work(TASK_NEEDS, ms(100))
             other = sorted(system.hosts)[0]
             group.start_soon(load.submit, "b" * 16, other)
             await system.clock.sleep(2 * SECOND)
@@ -353,13 +358,13 @@
     size = PoolSystemSize(data_centres=1, hosts_each=2)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(1_500))
-        name, other = system.owner(), system.other()
+        system.book.default_work = Work(TASK_NEEDS, ms(1_500))
+        name, other = system.owner(), system.non_owner()
         async with anyio.create_task_group() as group:
             load = Load(system, group, width=4)
             group.start_soon(load.submit, "a" * 16, other)
             await system.clock.sleep(ms(100))
-            idle = next(m for m in system.places.values() if not m.running)
+            idle = next(m for m in system.minions.values() if not m.running)
             system.listed[:] = [idle.entry]
             await system.clock.sleep(ms(600))
             if owner_is_new:
@@ -384,15 +389,15 @@
     size = PoolSystemSize(data_centres=1, minions_each=2)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(4_000))
+        system.book.default_work = Work(TASK_NEEDS, ms(4_000))
         name = system.owner()
         async with anyio.create_task_group() as group:
             load = Load(system, group, width=1)
             group.start_soon(load.submit, "a" * 16, name)
             await system.clock.sleep(ms(50))
-            busy = [m.entry.id for m in system.places.values() if m.running]
+            busy = [m.entry.id for m in system.minions.values() if m.running]
             for host, running in system.hosts.items():
-                cut = set(busy) if host == name else set(system.places) - set(busy)
+                cut = set(busy) if host == name else set(system.minions) - set(busy)
                 running.calls.cut |= cut
             system.network.cut({name: 1})
             system.store.cut.add(name)
@@ -407,8 +412,8 @@
     # A job has more tasks than its data centre has free slots. The rest of its tasks go
     # to another data centre instead of waiting for the first ones to end.
     async def scenario(system):
-        result = await system.submit(system.other(), usual_batch("e" * 16, 14))
-        return result, {m.entry.data_centre for m in system.places.values()}
+        result = await system.submit(system.non_owner(), make_batch("e" * 16, 14))
+        return result, {m.entry.data_centre for m in system.minions.values()}
 
     (result, _), system = play_pools(scenario)
     assert result.outcome is BatchOutcome.SUCCEEDED
@@ -422,14 +427,14 @@
     size = PoolSystemSize(data_centres=1, minions_each=1)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(2_000))
+        system.book.default_work = Work(TASK_NEEDS, ms(2_000))
         async with anyio.create_task_group() as group:
             load = Load(system, group)
-            group.start_soon(load.submit, "f" * 16, system.other())
+            group.start_soon(load.submit, "f" * 16, system.non_owner())
             await system.clock.sleep(ms(100))
             began = system.clock.monotonic()
             result = await system.submit(
-                system.other(), usual_batch("0" * 16, 4), ms(200)
+                system.non_owner(), make_batch("0" * 16, 4), ms(200)
             )
             took = system.clock.monotonic() - began
             group.cancel_scope.cancel()
@@ -449,16 +454,16 @@
         from dataclasses import replace
 
         async def drain_minion():
-            place = system.places["dc0-m1"]
-            index = system.listed.index(place.entry)
-            system.listed[index] = replace(place.entry, draining=True)
+            target = system.minions["dc0-m1"]
+            index = system.listed.index(target.entry)
+            system.listed[index] = replace(target.entry, draining=True)
             await system.clock.sleep(SECOND)
-            system.book.usual = Work(USUAL_NEEDS, ms(60))
+            system.book.default_work = Work(TASK_NEEDS, ms(60))
             before = len(system.book.starts)
-            drained = [len(place.running)]
+            drained = [len(target.running)]
             for _ in range(20):
                 await system.clock.sleep(ms(50))
-                drained.append(len(place.running))
+                drained.append(len(target.running))
             return before, drained
 
         seen = []
@@ -479,7 +484,7 @@
     # while, as it may come back, and then must forget it. Otherwise each minion that
     # was ever replaced would be called ten times a second for as long as the host runs.
     async def scenario(system):
-        minion = system.places["dc0-m1"]
+        minion = system.minions["dc0-m1"]
         minion.crash()
         system.listed.remove(minion.entry)
         await system.clock.sleep(5 * SECOND)
@@ -496,7 +501,7 @@
     # A host cannot reach the store when an operator changes the configuration. It gets
     # the change from the owner of its pool, and no host reverts to an older version.
     async def scenario(system):
-        name = system.other()
+        name = system.non_owner()
         system.store.cut.add(name)
         system.set_config(7)
         await system.clock.sleep(SECOND)
@@ -518,7 +523,7 @@
             system.kill(name)
         system.start_all()
         await system.clock.sleep(ms(700))
-        return await system.submit(system.other(), usual_batch("9" * 16))
+        return await system.submit(system.non_owner(), make_batch("9" * 16))
 
     result, system = play_pools(scenario)
     assert result.outcome is BatchOutcome.SUCCEEDED
@@ -530,7 +535,7 @@
     # connected yet must not take the pool from it: each takeover adds load to all
     # hosts, so that the next owner is even slower, and in the end no caller is served.
     async def scenario(system):
-        system.network.opening = ms(250)
+        system.network.open_delay = ms(250)
         before = {}
         async with anyio.create_task_group() as group:
             load = Load(system, group)
@@ -558,16 +563,16 @@
     # them. Their minions are unreachable, so the runs go on until their leases expire.
     # The coordinator comes back and claims its tasks again: they must not start a
     # second time while their first runs still go on.
-    batch = usual_batch("a" * 16, 2, estimate=ms(1_600))
+    batch = make_batch("a" * 16, 2, estimate=ms(1_600))
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(1_600))
-        name = system.other()
+        system.book.default_work = Work(TASK_NEEDS, ms(1_600))
+        name = system.non_owner()
         owner = system.hosts[system.owner()]
         async with anyio.create_task_group() as group:
             group.start_soon(system.submit, name, batch)
             await system.clock.sleep(ms(300))
-            owner.calls.cut.update(m for m, p in system.places.items() if p.running)
+            owner.calls.cut.update(m for m, p in system.minions.items() if p.running)
             for link in owner.host.links:
                 if link.name == name:
                     owner.host.owner.lose_requester(link)
@@ -587,7 +592,7 @@
 
     async def scenario(system):
         for running in system.hosts.values():
-            running.calls.effort = ms(5)
+            running.calls.call_cpu_time = ms(5)
         system.kill(system.owner())
         await system.clock.sleep(SECOND)
         owner = system.hosts[system.owner()].host.owner
@@ -606,12 +611,12 @@
     async def scenario(system):
         for number in range(4):
             job = f"{number:016x}"
-            system.book.works[TaskName(BatchId(job), 0, 0)] = Work(
-                USUAL_NEEDS, ms(60), fails=True
+            system.book.work_by_task[TaskName(BatchId(job), 0, 0)] = Work(
+                TASK_NEEDS, ms(60), fails=True
             )
-            await system.submit(system.other(), usual_batch(job, 1))
+            await system.submit(system.non_owner(), make_batch(job, 1))
         began = system.clock.monotonic()
-        result = await system.submit(system.other(), usual_batch("f" * 16, 6))
+        result = await system.submit(system.non_owner(), make_batch("f" * 16, 6))
         return result, system.clock.monotonic() - began
 
     (result, took), _ = play_pools(scenario, size)
@@ -629,21 +634,21 @@
     size = PoolSystemSize(data_centres=1, hosts_each=2, minions_each=2)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(3_000))
-        owner, name = system.owner(), system.other()
+        system.book.default_work = Work(TASK_NEEDS, ms(3_000))
+        owner, name = system.owner(), system.non_owner()
         calls = system.hosts[owner].calls
-        batch = usual_batch("a" * 16, 2, estimate=ms(3_000))
+        batch = make_batch("a" * 16, 2, estimate=ms(3_000))
         async with anyio.create_task_group() as group:
             group.start_soon(system.submit, name, batch)
             await system.clock.sleep(ms(300))
-            calls.late_holds, calls.lateness = 2, ms(1_250)
+            calls.delayed_extensions, calls.call_delay = 2, ms(1_250)
             await system.clock.sleep(ms(600))
-            calls.cut.update(m for m, p in system.places.items() if p.running)
+            calls.cut.update(m for m, p in system.minions.items() if p.running)
             await system.clock.sleep(reachable_after)
             calls.cut.clear()
-            system.book.usual = Work(USUAL_NEEDS, ms(60))
+            system.book.default_work = Work(TASK_NEEDS, ms(60))
             for number in range(10):
-                job = usual_batch(f"{number:016x}", 4)
+                job = make_batch(f"{number:016x}", 4)
                 group.start_soon(system.submit, name, job)
                 await system.clock.sleep(ms(100))
 
@@ -672,8 +677,8 @@
             queue="saldo",
             service="verlofdienst",
             spec="",
-            cpu_millis=USUAL_NEEDS.cpu_millis,
-            memory_mb=USUAL_NEEDS.memory_mb,
+            cpu_millis=TASK_NEEDS.cpu_millis,
+            memory_mb=TASK_NEEDS.memory_mb,
             gpus=0,
             priority=0,
             estimate_ms=3_000,
@@ -691,12 +696,12 @@
     # task. As it is unknown whether the task still runs, it must be returned with an
     # unknown outcome and must not start elsewhere beside the first run.
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(3_000))
+        system.book.default_work = Work(TASK_NEEDS, ms(3_000))
         requester = RequestingHost("a" * 16)
         first = system.hosts[system.owner()].host.owner
         first.run_tasks(requester, requester.request(claimed=False))
         await system.clock.sleep(ms(200))
-        busy = {m for m, place in system.places.items() if place.running}
+        busy = {m for m, target in system.minions.items() if target.running}
         for running in system.hosts.values():
             running.calls.cut |= busy
         system.kill(system.owner())
@@ -718,7 +723,7 @@
     size = PoolSystemSize(data_centres=1, hosts_each=1, minions_each=1)
 
     async def scenario(system):
-        system.book.usual = Work(USUAL_NEEDS, ms(600))
+        system.book.default_work = Work(TASK_NEEDS, ms(600))
         name = system.owner()
         async with anyio.create_task_group() as group:
             load = Load(system, group, width=2)
@@ -741,7 +746,7 @@
         system.listed.append(stranger)
         await system.clock.sleep(2 * SECOND)
         owner = system.hosts[system.owner()].host.owner
-        result = await system.submit(system.other(), usual_batch("7" * 16))
+        result = await system.submit(system.non_owner(), make_batch("7" * 16))
         return {minion.entry.id for minion in owner.minions}, result.outcome
 
     (known, outcome), _ = play_pools(scenario)
--- a/tests/host/test_random_streams.py
+++ b/tests/host/test_random_streams.py
@@ -20,7 +20,7 @@
 from brasstray.batch.step import Step
 from brasstray.batch.task_name import TaskName
 from brasstray_standins.leased_minion import Work
-from brasstray_standins.pool_system import CONFIG_KEY, USUAL_NEEDS, PoolSystemSize
+from brasstray_standins.pool_system import CONFIG_KEY, TASK_NEEDS, PoolSystemSize
 
 # About a second each on a busy machine; more are run by hand.
 EXAMPLES = int(os.environ.get("STREAM_EXAMPLES", "40"))
@@ -95,13 +95,13 @@
         self._submit = submit
         self.job = job
         self.tries = []
-        step = Step(submit.width, USUAL_NEEDS, timedelta(milliseconds=60))
+        step = Step(submit.width, TASK_NEEDS, timedelta(milliseconds=60))
         self._batch = Batch(BatchId(job), "", (step,))
         work = Work(
-            USUAL_NEEDS, timedelta(milliseconds=submit.duration_ms), submit.fails
+            TASK_NEEDS, timedelta(milliseconds=submit.duration_ms), submit.fails
         )
         for index in range(submit.width):
-            system.book.works[TaskName(BatchId(job), 0, index)] = work
+            system.book.work_by_task[TaskName(BatchId(job), 0, index)] = work
 
     async def run(self):
         first = await self._try(self._submit.host)
@@ -145,7 +145,7 @@
     async def inject(self, fault):
         system, duration = self._system, timedelta(milliseconds=fault.for_ms)
         name, minion = host_name(fault.target), minion_name(fault.target)
-        running, place = system.hosts.get(name), system.places[minion]
+        running, target = system.hosts.get(name), system.minions[minion]
         match fault.what:
             case "kill" | "restart":
                 if running is not None and len(system.hosts) > 1:
@@ -166,24 +166,24 @@
             case "drain" if running is not None:
                 running.host.drain()
             case "lose" if running is not None:
-                running.calls.swallowed = 4
+                running.calls.lost_responses = 4
             case "late" if running is not None:
-                running.calls.late = 3
+                running.calls.delayed_starts = 3
             case "crash":
-                place.crash()
+                target.crash()
                 system.listed = [e for e in system.listed if e.id != minion]
             case "stuck":
-                place.stuck = True
+                target.stuck = True
                 await system.clock.sleep(duration)
-                place.stuck = False
+                target.stuck = False
             case "slow":
-                place.slowness = 6.0
+                target.slowdown = 6.0
                 await system.clock.sleep(duration)
-                place.slowness = 1.0
+                target.slowdown = 1.0
             case "failing":
-                place.failing = True
+                target.failing = True
                 await system.clock.sleep(duration)
-                place.failing = False
+                target.failing = False
             case "cut minion":
                 cut = [running.calls.cut for running in system.hosts.values()]
                 for one in cut:
--- a/tests/host/test_starting.py
+++ b/tests/host/test_starting.py
@@ -32,7 +32,7 @@
     # to 44 requests were rejected in that quarter of a second in a run of the users'
     # day.
     async def scenario(system):
-        name = system.other()
+        name = system.non_owner()
         system.kill(name)
         system.store.down = store_down
         host = system.start(name, "dc0").host
--- a/tests/platform/test_whole_path.py
+++ b/tests/platform/test_whole_path.py
@@ -27,7 +27,7 @@
 from brasstray.job.ids import DataCentreName, MinionId, ServiceName
 from brasstray.pool.minion_entry import MinionEntry
 from brasstray_standins.kv_app import KvApp
-from brasstray_standins.leased_minion import LeasedMinion, RunBook, Work, tick_all
+from brasstray_standins.leased_minion import LeasedMinion, RunRecorder, Work, tick_all
 from brasstray_standins.leased_minion_app import LeasedMinionApp
 from brasstray_standins.memory_store import MemoryStore
 
@@ -52,7 +52,7 @@
     async def _run(self):
         clock = LoopClock()
         store = MemoryStore(clock)
-        self.book = RunBook(Work(NEEDS, timedelta(milliseconds=40)))
+        self.recorder = RunRecorder(Work(NEEDS, timedelta(milliseconds=40)))
         minions = [self._create_minion(clock, port) for port in self.ports[1:]]
         store.put("op/config", json.dumps(CONFIG).encode())
         for minion in minions:
@@ -82,7 +82,7 @@
             (),
             draining=False,
         )
-        return LeasedMinion(entry, clock, self.book)
+        return LeasedMinion(entry, clock, self.recorder)
 
     def stop(self):
         self._stopped.set()
@@ -175,8 +175,8 @@
     assert call(port, "POST", "/none/" + "0" * 16, job)[0] == 404
     assert call(port, "POST", "/q/" + "0" * 16, {"Steps": []})[0] == 400
     assert call(port, "POST", "/q/" + "0" * 16, {"Steps": [step]})[0] == 503
-    assert len(platform.book.starts) == 18
-    assert platform.book.broken == []
+    assert len(platform.recorder.starts) == 18
+    assert platform.recorder.broken == []
 
 
 def test_operators_see_who_owns_the_pool(system):
--- a/tests/pool/takeover.py
+++ b/tests/pool/takeover.py
@@ -18,7 +18,7 @@
 from brasstray.pool.minion_entry import MinionEntry
 from brasstray.pool.owner import PoolOwner
 from brasstray.pool.timing import PoolTiming
-from brasstray_standins.leased_minion import LeasedMinion, RunBook, Work, tick_all
+from brasstray_standins.leased_minion import LeasedMinion, RunRecorder, Work, tick_all
 from brasstray_standins.leased_minions import LeasedMinions
 
 TICK = timedelta(milliseconds=5)
@@ -102,7 +102,7 @@
     def __post_init__(self):
         self.clock = LoopClock()
         self.timing = PoolTiming()
-        self.book = RunBook(Work(NEEDS, self.duration))
+        self.recorder = RunRecorder(Work(NEEDS, self.duration))
         for number in range(self.minions):
             entry = MinionEntry(
                 MinionId(f"m{number}"),
@@ -114,7 +114,7 @@
                 (),
                 draining=False,
             )
-            self.stand_ins[entry.id] = LeasedMinion(entry, self.clock, self.book)
+            self.stand_ins[entry.id] = LeasedMinion(entry, self.clock, self.recorder)
         self.group.start_soon(
             tick_all, lambda: list(self.stand_ins.values()), self.clock, TICK
         )
--- a/tests/pool/test_late_starts.py
+++ b/tests/pool/test_late_starts.py
@@ -35,7 +35,7 @@
         owner, _ = pool.start_owner(1, calls)
         await pool.list_all_minions(owner)
         await pool.clock.sleep(ms(150))
-        calls.late, calls.lateness = 1, ms(late_ms)
+        calls.delayed_starts, calls.call_delay = 1, ms(late_ms)
         owner.run_tasks(Requester(), request(claimed=False))
         lost = await wait_for_late_start(pool, calls, owner)
         calls.cut.add(lost)
@@ -45,11 +45,11 @@
         await list_periodically(pool, owner, pool.entries, 10 * SECOND)
 
     pool, _ = run_takeover(scenario, minions, duration=15 * SECOND)
-    assert pool.book.broken == []
+    assert pool.recorder.broken == []
 
 
 async def wait_for_late_start(pool, calls, owner):
     """Wait until a start is held back; return the minion that it was sent to."""
-    while calls.late:
+    while calls.delayed_starts:
         await pool.clock.sleep(ms(1))
     return next(minion.entry.id for minion in owner.minions if minion.runs)
--- a/tests/pool/test_takeover.py
+++ b/tests/pool/test_takeover.py
@@ -43,7 +43,7 @@
         await pool.clock.sleep(ms(400))
     calls = pool.calls()
     calls.lost, calls.affected = lost, {where}
-    calls.late = calls.late_holds = late_calls
+    calls.delayed_starts = calls.delayed_extensions = late_calls
     second, _ = pool.start_owner(2, calls)
     await pool.list_all_minions(second)
     second.run_tasks(Requester(), request(claimed=True))
@@ -70,8 +70,8 @@
             )
 
         pool, _ = run_takeover(scenario, minions)
-        if pool.book.broken:
-            broken[tuple(sorted(lost))] = pool.book.broken
+        if pool.recorder.broken:
+            broken[tuple(sorted(lost))] = pool.recorder.broken
     assert broken == {}
     assert len(LOSS_PATTERNS) == 63
 
@@ -99,8 +99,8 @@
         await pool.clock.sleep(ms(500))
 
     pool, _ = run_takeover(scenario, minions)
-    assert pool.book.broken == []
-    assert pool.book.starts.count(TASK) == 2
+    assert pool.recorder.broken == []
+    assert pool.recorder.starts.count(TASK) == 2
 
 
 async def start_on_last_minion(pool, owner):
@@ -108,14 +108,16 @@
     others = 2 * (pool.minions - 1)
     if others:
         for index in range(others):
-            pool.book.works[TaskName(OTHER_JOB, 0, index)] = Work(NEEDS, ms(20))
+            pool.recorder.work_by_task[TaskName(OTHER_JOB, 0, index)] = Work(
+                NEEDS, ms(20)
+            )
         owner.run_tasks(
             Requester(), request(claimed=False, job=OTHER_JOB, width=others)
         )
         await pool.clock.sleep(ms(5))
     owner.run_tasks(Requester(), request(claimed=False))
     await pool.clock.sleep(ms(100))
-    pool.book.works.clear()
+    pool.recorder.work_by_task.clear()
     assert pool.where() == pool.entries[-1].id
     return pool.stand_ins[pool.where()]
 
@@ -131,14 +133,16 @@
         await pool.clock.sleep(ms(150))
         full = request(claimed=False, job=OTHER_JOB, width=4)
         for index in range(4):
-            pool.book.works[TaskName(OTHER_JOB, 0, index)] = Work(NEEDS, ms(120))
+            pool.recorder.work_by_task[TaskName(OTHER_JOB, 0, index)] = Work(
+                NEEDS, ms(120)
+            )
         owner.run_tasks(Requester(), full)
         await pool.clock.sleep(ms(50))
         requester = Requester()
         owner.run_tasks(requester, request(claimed=False))
         await pool.clock.sleep(ms(50))
         minion = owner.minions[1]
-        pool.book.works[TASK] = Work(Resources(), ms(600))
+        pool.recorder.work_by_task[TASK] = Work(Resources(), ms(600))
         stand_in = pool.stand_ins[minion.entry.id]
         stand_in.start(minion.entry, FencingToken(1), TASK, RunNumber(7), 10**6)
         owner.apply_report(minion, (ActiveRun(TASK, RunNumber(7), 10),), ())
@@ -146,8 +150,8 @@
         return requester
 
     pool, requester = run_takeover(scenario, 2)
-    assert pool.book.broken == []
-    assert pool.book.starts.count(TASK) == 1
+    assert pool.recorder.broken == []
+    assert pool.recorder.starts.count(TASK) == 1
     assert [message.done for message in requester.messages] == [(0,)]
 
 
@@ -169,8 +173,8 @@
         cancelled = Requester()
         owner.run_tasks(cancelled, request(claimed=False, job=OTHER_JOB, width=3))
         await pool.clock.sleep(ms(100))
-        calls.late_holds, calls.lateness = 1, ms(500)
-        while calls.late_holds:
+        calls.delayed_extensions, calls.call_delay = 1, ms(500)
+        while calls.delayed_extensions:
             await pool.clock.sleep(ms(1))
         calls.cut.add(stand_in.entry.id)
         owner.stop_tasks(cancelled, OTHER_JOB)
@@ -180,7 +184,7 @@
         await pool.clock.sleep(ms(600))
 
     pool, _ = run_takeover(scenario, 2, confirm_delay=ms(confirm_delay))
-    assert pool.book.broken == []
+    assert pool.recorder.broken == []
 
 
 # Guards against orphaned runs that continue beside a second run. The store becomes
@@ -238,6 +242,6 @@
         return [minion.entry.id for minion in owner.minions]
 
     pool, known = run_takeover(scenario, 2, duration=ms(6_000))
-    assert pool.book.broken == []
-    assert pool.book.starts.count(TASK) == 2
+    assert pool.recorder.broken == []
+    assert pool.recorder.starts.count(TASK) == 2
     assert known == ["m0"]
--- a/tests/pool/test_takeover_series.py
+++ b/tests/pool/test_takeover_series.py
@@ -13,7 +13,7 @@
 
 from brasstray.peer.message.tasks_ended import TasksEnded
 from brasstray.peer.message.tasks_returned import TasksReturned
-from brasstray_standins.call_chaos import CallChaos
+from brasstray_standins.call_faults import RandomCallFaults
 
 # More seeds are run by hand.
 SEED_COUNT = int(os.environ.get("SERIES_SEEDS", "10"))
@@ -111,7 +111,9 @@
 
     async def _start_owner(self, token):
         calls = self.pool.calls()
-        calls.chaos = CallChaos(self.random, self.late, self.unanswered, ms(3_000))
+        calls.random_faults = RandomCallFaults(
+            self.random, self.late, self.unanswered, ms(3_000)
+        )
         owner, owner_scope = self.pool.start_owner(token, calls)
         await self.pool.list_all_minions(owner)
         return owner, owner_scope, calls
@@ -137,5 +139,5 @@
     pool, _ = run_takeover(
         scenario, 2 + seed % 2, duration=ms(random.choice((900, 3_000)))
     )
-    assert pool.book.starts
-    assert pool.book.broken == []
+    assert pool.recorder.starts
+    assert pool.recorder.broken == []
