--- a/measure/capacity.py
+++ b/measure/capacity.py
@@ -24,7 +24,7 @@
 from brasstray.journal.takeover import Takeover
 from brasstray.journal.timing import JournalTiming
 from brasstray_standins.memory_platform import MemoryPlatform
-from brasstray_standins.memory_system import STARTED, MemorySystem, SystemSize
+from brasstray_standins.memory_system import START_TIME, MemorySystem, SystemSize
 from brasstray_standins.no_replicas import NoReplicas
 from measure.virtual import run_virtual
 
@@ -102,7 +102,7 @@
     key = KeyText(f"own~20261231T120000Z~utrecht-a~leave-{number:08d}")
     job = JobId(caller=CallerName(f"filiaal-{number % 400}"), key=key)
     executor = IncarnationId("utrecht-a.entry-0.0123456789ab")
-    expires = STARTED + timedelta(hours=4)
+    expires = START_TIME + timedelta(hours=4)
     digest = f"{number:032x}"
     bound = Bound(
         job=job, digest=digest, executor=executor, task_count=9, expires=expires
@@ -134,15 +134,15 @@
         term=1,
         writer=IncarnationId("utrecht-a.entry-0.0123456789ab"),
         token="0" * 16,
-        horizon=STARTED,
-        accept_until=STARTED,
+        horizon=START_TIME,
+        accept_until=START_TIME,
         records=records,
     )
     return len(segment.model_dump_json()) / 1e6
 
 
 async def _commit_cpu_seconds(count: int) -> float:
-    clock = LoopClock(STARTED)
+    clock = LoopClock(START_TIME)
     platform = MemoryPlatform(clock)
     journal = Journal(platform, DataCentreName("utrecht-a"))
     takeover = Takeover(journal, NoReplicas(), clock, Random(1), JournalTiming())
--- a/measure/faults.py
+++ b/measure/faults.py
@@ -10,7 +10,7 @@
 
 import anyio
 
-from brasstray_standins.memory_system import CallerCutOffError
+from brasstray_standins.memory_system import CallerDisconnectedError
 from brasstray_standins.minion import MinionMode
 from measure.routing import POLICIES, WORKERS
 from measure.trial import Trial
@@ -54,7 +54,7 @@
 async def dead_minion(system: MemorySystem) -> None:
     """Kill one minion and the tasks that it runs."""
     await system.clock.sleep(FAULT_AT)
-    system.minions["dc-0-minion-0"].die()
+    system.minions["dc-0-minion-0"].kill()
 
 
 async def slow_minion(system: MemorySystem) -> None:
@@ -65,7 +65,7 @@
 async def killed_host(system: MemorySystem) -> None:
     """Kill one of three entry hosts, and restart it after a second."""
     await system.clock.sleep(FAULT_AT)
-    name = system.bystander().config.host
+    name = system.non_leader().config.host
     system.kill(name)
     await system.clock.sleep(timedelta(seconds=1))
     system.start(name)
@@ -74,7 +74,7 @@
 async def drained_host(system: MemorySystem) -> None:
     """Drain one of three entry hosts, and restart it."""
     await system.clock.sleep(FAULT_AT)
-    host = system.bystander()
+    host = system.non_leader()
     await host.drain()
     system.kill(host.config.host)
     system.start(host.config.host)
@@ -91,17 +91,17 @@
 
 async def _cancel(system: MemorySystem, key: str) -> None:
     try:
-        await system.cancel(system.bystander(), key)
-    except CallerCutOffError:
+        await system.cancel(system.non_leader(), key)
+    except CallerDisconnectedError:
         return
 
 
 async def platform_down(system: MemorySystem) -> None:
     """Make the platform unavailable for three seconds."""
     await system.clock.sleep(FAULT_AT)
-    system.platform.switches.down = True
+    system.platform.faults.down = True
     await system.clock.sleep(timedelta(seconds=3))
-    system.platform.switches.down = False
+    system.platform.faults.down = False
 
 
 FAULTS: dict[str, Callable[[MemorySystem], Awaitable[None]]] = {
--- a/measure/journal.py
+++ b/measure/journal.py
@@ -64,7 +64,7 @@
         system.start_all()
         await system.settle()
         if down:
-            system.platform.switches.down = True
+            system.platform.faults.down = True
             await system.clock.sleep(timedelta(seconds=5))
         before = _writes(system)
         overheads, jobs = await _submit_many(system, rate, minted)
@@ -84,7 +84,7 @@
         system = MemorySystem(group, SystemSize(hosts_each=5, minions_each=16), seed)
         system.start_all()
         await system.settle()
-        system.platform.switches.down = True
+        system.platform.faults.down = True
         await _submit_many(system, 10, minted=False, jobs=20)
         leader = system.leader()
         assert leader is not None
@@ -97,7 +97,7 @@
             ]
         for name in lost:
             system.kill(name)
-        system.platform.switches.down = False
+        system.platform.faults.down = False
         await system.clock.sleep(timedelta(seconds=15))
         done = 0
         for number in range(JOBS_AFTER_TAKEOVER):
--- a/measure/trial.py
+++ b/measure/trial.py
@@ -11,7 +11,7 @@
 
 from brasstray.job.outcome import Outcome
 from brasstray_standins.memory_system import (
-    CallerCutOffError,
+    CallerDisconnectedError,
     MemorySystem,
     SystemSize,
     leave_job,
@@ -110,7 +110,7 @@
             host = random.choice(list(system.hosts.values()))
             try:
                 answer = await system.submit(host, key, request)
-            except CallerCutOffError:
+            except CallerDisconnectedError:
                 await system.clock.sleep(timedelta(milliseconds=500))
                 continue
             answers[job.number] = answer
--- a/src/brasstray_standins/loopback_system.py
+++ b/src/brasstray_standins/loopback_system.py
@@ -164,7 +164,7 @@
     def kill_minion(self, number: int) -> None:
         """Kill a minion and the tasks that it runs."""
         minion = self.minions[number]
-        minion.die()
+        minion.kill()
         self._scopes[minion.name].cancel()
 
     def kill_daemon(self, name: str) -> None:
--- a/src/brasstray_standins/memory_platform.py
+++ b/src/brasstray_standins/memory_platform.py
@@ -27,7 +27,7 @@
 
     def __init__(self, clock: Clock) -> None:
         self._clock = clock
-        self._switches = PlatformFaults()
+        self._faults = PlatformFaults()
         self._entries: dict[str, StoreEntry] = {}
         self._lease_of: dict[str, int] = {}
         self._lease_expiry: dict[int, timedelta] = {}
@@ -39,9 +39,9 @@
         self._calls = 0
 
     @property
-    def switches(self) -> PlatformFaults:
+    def faults(self) -> PlatformFaults:
         """Return the injected faults, which may be changed."""
-        return self._switches
+        return self._faults
 
     @property
     def calls(self) -> int:
@@ -54,14 +54,14 @@
 
     async def _begin_call(self) -> None:
         self._calls += 1
-        await self._clock.sleep(self._switches.delay)
-        if self._switches.down:
+        await self._clock.sleep(self._faults.delay)
+        if self._faults.down:
             raise StoreUnavailableError("the platform is down")
         self._expire()
 
     def _maybe_lose_reply(self) -> None:
-        if self._switches.lose_replies > 0:
-            self._switches.lose_replies -= 1
+        if self._faults.lose_replies > 0:
+            self._faults.lose_replies -= 1
             raise StoreUnavailableError("the reply was lost")
 
     def _expire(self) -> None:
@@ -151,7 +151,7 @@
     async def hosts(self) -> list[ListedHost]:
         """Return the host list, or the last one read before it was frozen."""
         await self._begin_call()
-        if not self._switches.freeze_host_list:
+        if not self._faults.freeze_host_list:
             self._visible_hosts = list(self._hosts)
         return list(self._visible_hosts)
 
--- a/src/brasstray_standins/memory_system.py
+++ b/src/brasstray_standins/memory_system.py
@@ -41,10 +41,10 @@
 CALLER = CallerName("branch-12")
 LEAVE = ServiceName("verlofdienst")
 RERUN = ServiceName("herrekening")
-STARTED = datetime(2026, 12, 31, 8, 0, tzinfo=UTC)
+START_TIME = datetime(2026, 12, 31, 8, 0, tzinfo=UTC)
 
 
-class CallerCutOffError(Exception):
+class CallerDisconnectedError(Exception):
     """Report that the process that a caller was connected to has ended."""
 
 
@@ -76,7 +76,7 @@
         self._size = size or SystemSize()
         self._random = Random(seed)
         self._timing = timing or EntryTiming()
-        self.clock = LoopClock(STARTED)
+        self.clock = LoopClock(START_TIME)
         self.platform = MemoryPlatform(self.clock)
         self.network = MemoryNetwork(self.clock)
         self.counts = InMemoryMetrics()
@@ -118,7 +118,7 @@
         self._listed.append(host)
         self.platform.list_hosts(self._listed)
 
-    def relist(self, hosts: list[ListedHost]) -> None:
+    def set_listed_hosts(self, hosts: list[ListedHost]) -> None:
         """Replace the platform's host list."""
         self._listed = hosts
         self.platform.list_hosts(hosts)
@@ -197,7 +197,7 @@
             for other in set(self.hosts) - names:
                 self.network.cut(member, other)
 
-    def cut_platform(self, names: set[HostName]) -> None:
+    def set_platform_unreachable_for(self, names: set[HostName]) -> None:
         """Make the platform unreachable for `names`, and reachable for all others."""
         self._without_platform = names
 
@@ -223,7 +223,7 @@
                 return host
         return None
 
-    def bystander(self, *others: EntryHost, centre: int = 0) -> EntryHost:
+    def non_leader(self, *others: EntryHost, centre: int = 0) -> EntryHost:
         """Return a host of a data centre that is neither its leader nor in `others`."""
         for host in self.hosts.values():
             in_centre = host.config.data_centre == self.data_centres[centre]
@@ -247,7 +247,7 @@
     ) -> Answer:
         """Submit a job as `CALLER` and wait up to `wait` seconds for its answer.
 
-        Raise CallerCutOffError if the host's process ends before it answers.
+        Raise CallerDisconnectedError if the host's process ends before it answers.
         """
         timeout = timedelta(seconds=wait)
         return await self._call_host(
@@ -270,7 +270,7 @@
     ) -> Answer:
         name = host.config.host
         if self.hosts.get(name) is not host:
-            raise CallerCutOffError(name)
+            raise CallerDisconnectedError(name)
         gate, ended = self._gates[name], anyio.Event()
         answers: list[Answer] = []
 
@@ -285,7 +285,7 @@
         self._groups[name].start_soon(run)
         await ended.wait()
         if not answers or self.hosts.get(name) is not host:
-            raise CallerCutOffError(name)
+            raise CallerDisconnectedError(name)
         return answers[0]
 
     def starts_of(self, key: str) -> dict[str, int]:
@@ -330,10 +330,10 @@
 
 __all__ = [
     "CALLER",
-    "CallerCutOffError",
+    "CallerDisconnectedError",
     "LEAVE",
     "RERUN",
-    "STARTED",
+    "START_TIME",
     "MemorySystem",
     "SystemSize",
     "leave_job",
--- a/src/brasstray_standins/minion.py
+++ b/src/brasstray_standins/minion.py
@@ -68,7 +68,7 @@
         """Return the number of starts of each task."""
         return self._starts
 
-    def die(self) -> None:
+    def kill(self) -> None:
         """End all running tasks without a reply, and refuse connections."""
         self.mode = MinionMode.DEAD
         self._killed.set()
--- a/src/brasstray_standins/platform_app.py
+++ b/src/brasstray_standins/platform_app.py
@@ -62,8 +62,8 @@
         if path == "/starts":
             return json_response(200, self._starts())
         if path == "/switches/down":
-            self._platform.switches.down = method == "PUT"
-            return json_response(200, {"down": self._platform.switches.down})
+            self._platform.faults.down = method == "PUT"
+            return json_response(200, {"down": self._platform.faults.down})
         if path == "/scan":
             entries = await self._platform.scan(
                 query(scope, "prefix") or "", query(scope, "after") or ""
--- a/tests/entry/test_differential.py
+++ b/tests/entry/test_differential.py
@@ -9,7 +9,11 @@
 
 from brasstray.job.outcome import Outcome
 from brasstray.job.reason import Reason
-from brasstray_standins.memory_system import CallerCutOffError, SystemSize, leave_job
+from brasstray_standins.memory_system import (
+    CallerDisconnectedError,
+    SystemSize,
+    leave_job,
+)
 
 HOSTS = 4
 FAULTS = ("none", "kill", "pause", "platform", "lose replies", "cut")
@@ -79,16 +83,16 @@
         case "pause":
             system.pause(name)
         case "platform":
-            system.platform.switches.down = not system.platform.switches.down
+            system.platform.faults.down = not system.platform.faults.down
         case "lose replies":
-            system.platform.switches.lose_replies = 2
+            system.platform.faults.lose_replies = 2
             system.network.lose_replies = 2
         case "cut" if name in system.hosts:
             system.isolate({name})
 
 
 def clear_faults(system):
-    system.platform.switches.down = False
+    system.platform.faults.down = False
     system.network.heal()
     system.end()
 
@@ -105,7 +109,7 @@
             answer = await system.submit(
                 host, keys[submission.job], request_of(submission), wait=20
             )
-        except CallerCutOffError:
+        except CallerDisconnectedError:
             return
         answers.append((submission, answer))
 
--- a/tests/entry/test_limits.py
+++ b/tests/entry/test_limits.py
@@ -43,7 +43,7 @@
         key = system.key("a")
         started_at = anyio.current_time()
         request = leave_job(tasks, run_ms, deadline_ms=deadline_ms)
-        answer = await system.submit(system.bystander(), key, request)
+        answer = await system.submit(system.non_leader(), key, request)
         return answer, anyio.current_time() - started_at, system.starts_of(key), key
 
     answer, elapsed, starts, key = play(scenario)
@@ -63,7 +63,7 @@
     """
 
     async def scenario(system):
-        host = system.bystander()
+        host = system.non_leader()
         runner: JobRunner = host.jobs._runner
         monkeypatch.setattr(runner, "_config", replace(runner._config, max_jobs=1))
         first, key = system.key("first"), system.key("a")
--- a/tests/entry/test_submit.py
+++ b/tests/entry/test_submit.py
@@ -15,7 +15,7 @@
 def test_a_job_gets_one_complete_answer(play, tasks):
     async def scenario(system):
         key = system.key("a")
-        answer = await system.submit(system.bystander(), key, leave_job(tasks, 20))
+        answer = await system.submit(system.non_leader(), key, leave_job(tasks, 20))
         again = await system.submit(system.leader(), key, leave_job(tasks, 20))
         return answer, again, system.starts_of(key)
 
--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -64,7 +64,7 @@
 def submit(script, tasks, ms=1_000):
     def act(play):
         play.request = leave_job(tasks, ms, deadline_ms=120_000)
-        play.submit(play.system.bystander())
+        play.submit(play.system.non_leader())
 
     script.add(act)
 
@@ -73,7 +73,7 @@
 def submit_rerun(script, tasks):
     def act(play):
         play.request = leave_job(tasks, 1_000, service=RERUN, repeatable=True)
-        play.submit(play.system.bystander())
+        play.submit(play.system.non_leader())
 
     script.add(act)
 
@@ -111,7 +111,7 @@
 @when("the caller cancels the job at another host")
 def cancel(script):
     async def act(play):
-        host = play.system.bystander(play.executor)
+        host = play.system.non_leader(play.executor)
         play.told.append(await play.system.cancel(host, play.key))
 
     script.add(act)
@@ -132,7 +132,7 @@
             case "cut off from its peers":
                 system.isolate({name})
             case "cut off from the platform":
-                system.cut_platform({name})
+                system.set_platform_unreachable_for({name})
             case "told to leave":
                 play.callers.start_soon(_drain, play, host)
             case _:
@@ -150,7 +150,7 @@
 def resume(script):
     def act(play):
         play.system.resume(play.struck.config.host)
-        play.system.cut_platform(set())
+        play.system.set_platform_unreachable_for(set())
         play.system.network.heal()
 
     script.add(act)
@@ -182,7 +182,7 @@
             if host.config.data_centre == play.system.data_centres[centre]
         }
         play.system.isolate(names)
-        play.system.cut_platform(names)
+        play.system.set_platform_unreachable_for(names)
 
     script.add(act)
 
@@ -191,7 +191,7 @@
 def mend(script):
     def act(play):
         play.system.network.heal()
-        play.system.cut_platform(set())
+        play.system.set_platform_unreachable_for(set())
 
     script.add(act)
 
@@ -199,7 +199,7 @@
 @when(parsers.parse("the platform goes {state}"))
 def set_platform(script, state):
     def act(play):
-        play.system.platform.switches.down = state == "down"
+        play.system.platform.faults.down = state == "down"
 
     script.add(act)
 
@@ -207,7 +207,7 @@
 @when(parsers.parse("the platform loses its next {count:d} replies"))
 def lose_replies(script, count):
     def act(play):
-        play.system.platform.switches.lose_replies = count
+        play.system.platform.faults.lose_replies = count
 
     script.add(act)
 
@@ -226,7 +226,7 @@
         minion = next(m for m in play.system.minions.values() if m.starts)
         match fate:
             case "dies":
-                minion.die()
+                minion.kill()
             case "fails everything":
                 minion.mode = MinionMode.FAILING
             case _:
@@ -253,7 +253,7 @@
 @when(parsers.parse("the platform lists minion {number:d} as leaving"))
 def list_as_leaving(script, number):
     def act(play):
-        play.system.relist(
+        play.system.set_listed_hosts(
             [
                 host.model_copy(update={"state": HostState.LEAVING})
                 if host.name == f"dc-0-minion-{number}"
--- a/tests/failures/play.py
+++ b/tests/failures/play.py
@@ -11,7 +11,7 @@
 from brasstray.job.job_id import JobId
 from brasstray_standins.memory_system import (
     CALLER,
-    CallerCutOffError,
+    CallerDisconnectedError,
     MemorySystem,
     leave_job,
 )
@@ -52,7 +52,7 @@
                 self.told.append(answer)
                 if answer.outcome.final or answer.outcome.value.startswith("refused"):
                     return
-            except CallerCutOffError as error:
+            except CallerDisconnectedError as error:
                 self.lost.append(str(error))
             await self.system.clock.sleep(PAUSE)
             host = self._any_other(host, centre)
--- a/tests/http/test_caller_app.py
+++ b/tests/http/test_caller_app.py
@@ -93,7 +93,7 @@
         _, minted = await send_request(app, "POST", "/v1/keys", [IDENTITY])
         headers = [IDENTITY, ("idempotency-key", minted["key"])]
         body = json.dumps(JOB).encode()
-        other = CallerApp(system.bystander())
+        other = CallerApp(system.non_leader())
         replies = [
             await send_request(a, "POST", "/v1/jobs", headers, body)
             for a in (app, other)
--- a/tests/journal/test_leader.py
+++ b/tests/journal/test_leader.py
@@ -27,7 +27,7 @@
 from brasstray.journal.takeover import Takeover
 from brasstray.journal.timing import JournalTiming
 from brasstray_standins.memory_platform import MemoryPlatform
-from brasstray_standins.memory_system import STARTED
+from brasstray_standins.memory_system import START_TIME
 
 # A and B lead, X and Y execute jobs, and R1 and R2 are replicas.
 A, B = IncarnationId("dc.a.1"), IncarnationId("dc.b.1")
@@ -66,7 +66,7 @@
 
     def __init__(self, group):
         self.group = group
-        self.clock = LoopClock(STARTED)
+        self.clock = LoopClock(START_TIME)
         self.platform = MemoryPlatform(self.clock)
         self.replicas = InMemoryReplicas()
         self.journal = Journal(self.platform, DataCentreName("dc"))
@@ -131,7 +131,7 @@
 
     async def scenario(harness):
         leader = await harness.start_leader(A)
-        harness.platform.switches.lose_replies = lost_replies
+        harness.platform.faults.lose_replies = lost_replies
         await leader.bind(harness.binding("k", X))
         await anyio.sleep(30)
         assert not leader.writer.offline
@@ -185,11 +185,11 @@
 
     async def scenario(harness):
         old = await harness.start_leader(A)
-        harness.platform.switches.down = True
+        harness.platform.faults.down = True
         assert (await old.bind(harness.binding("k", X))).executor == X
         assert old.writer.offline
         harness.replicas.unreachable.update(unreachable)
-        harness.platform.switches.down = False
+        harness.platform.faults.down = False
         new = await harness.start_leader(B, old.writer.term)
         for name, expected in (("k", bound_key), ("l", other_key)):
             if expected in (X, Y):
@@ -218,7 +218,7 @@
     async def scenario(harness):
         leader = await harness.start_leader(A)
         harness.replicas.unreachable.add(R2)
-        harness.platform.switches.down = True
+        harness.platform.faults.down = True
         with pytest.raises(CommitUnavailableError):
             await leader.bind(harness.binding("k", X))
         harness.replicas.unreachable.clear()
@@ -249,7 +249,7 @@
 def test_fencing_fails_while_the_platform_is_down():
     async def scenario(harness):
         leader = await harness.start_leader(A)
-        harness.platform.switches.down = True
+        harness.platform.faults.down = True
         await leader.bind(harness.binding("k", X))
         with pytest.raises(CommitUnavailableError):
             await leader.fence(X)
--- a/tests/table/test_table_propagation.py
+++ b/tests/table/test_table_propagation.py
@@ -78,7 +78,7 @@
     """
 
     async def scenario(system):
-        system.platform.switches.lose_replies = 1
+        system.platform.faults.lose_replies = 1
         with pytest.raises(TableUnavailableError):
             await system.host(0).tables.change(make_table(1))
         changed = await system.host(1).tables.change(make_table(1))
@@ -101,12 +101,12 @@
         await anyio.sleep(PROPAGATION_SECONDS)
         inside = {name for name in system.hosts if name.startswith("dc-2")}
         system.isolate(inside)
-        system.cut_platform(inside)
+        system.set_platform_unreachable_for(inside)
         await system.host(0).tables.change(make_table(2))
         await anyio.sleep(PROPAGATION_SECONDS)
         during = versions_in_force(system)
         system.network.heal()
-        system.cut_platform(set())
+        system.set_platform_unreachable_for(set())
         await anyio.sleep(PROPAGATION_SECONDS)
         return during, versions_in_force(system)
 
@@ -127,15 +127,15 @@
     async def scenario(system):
         await system.host(0).tables.change(make_table(1, open=False))
         await anyio.sleep(PROPAGATION_SECONDS)
-        system.platform.switches.down = True
-        name = system.bystander().config.host
+        system.platform.faults.down = True
+        name = system.non_leader().config.host
         system.kill(name)
         host = system.start(name)
         await anyio.sleep(0)
         early = await host.jobs.submit(
             "c", system.key("a"), leave_job(1), timedelta(seconds=1)
         )
-        system.platform.switches.down = False
+        system.platform.faults.down = False
         listed_after = timedelta(seconds=PROPAGATION_SECONDS)
         await system.clock.sleep(listed_after)
         late = await system.submit(host, system.key("b"), leave_job(1))
@@ -168,7 +168,7 @@
 
     async def scenario(system):
         key = system.key("a")
-        first = await system.submit(system.bystander(), key, leave_job(2))
+        first = await system.submit(system.non_leader(), key, leave_job(2))
         await system.host(0).tables.change(make_table(1, open=False, max_tasks=1))
         await anyio.sleep(PROPAGATION_SECONDS)
         again = [
