--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -13,7 +13,7 @@
 from brasstray.entry.timing import EntryTiming
 from brasstray_standins.memory_system import MemorySystem, SystemSize
 
-Story = Callable[[MemorySystem], Awaitable[Any]]
+Scenario = Callable[[MemorySystem], Awaitable[Any]]
 
 
 # The model checks and the longest streams begin first: begun last, each would keep the
@@ -26,7 +26,7 @@
     "tests/entry/",
 )
 # Real processes with time limits share one worker, so that they do not compete.
-REAL_PROCESSES = ("tests/daemon/", "tests/platform/test_whole_path.py")
+REAL_PROCESSES = ("tests/daemon/", "tests/platform/test_end_to_end.py")
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
@@ -44,23 +44,23 @@
     return len(LONGEST_FIRST)
 
 
-# Chooses another order of events in every story; the tests must hold under any.
+# Chooses another order of events in every scenario; the tests must hold under any.
 SCHEDULE_SEED = int(os.environ.get("SCHEDULE_SEED", "1"))
 
 
 def run_virtual(
-    story: Callable[[], Awaitable[Any]], schedule: int = SCHEDULE_SEED
+    scenario: Callable[[], Awaitable[Any]], schedule: int = SCHEDULE_SEED
 ) -> Any:
-    """Run `story` on a virtual clock that jumps whenever all tasks sleep."""
-    return measure.virtual.run_virtual(schedule, story)
+    """Run `scenario` on a virtual clock that jumps whenever all tasks sleep."""
+    return measure.virtual.run_virtual(schedule, scenario)
 
 
 @pytest.fixture
 def play() -> Callable[..., Any]:
-    """Return a function that runs a story in a settled system and ends the system."""
+    """Return a function that runs a scenario in a settled system, then ends it."""
 
     def run(
-        story: Story,
+        scenario: Scenario,
         size: SystemSize | None = None,
         seed: int = 1,
         timing: EntryTiming | None = None,
@@ -70,7 +70,7 @@
                 system = MemorySystem(group, size, seed, timing)
                 system.start_all()
                 await system.settle()
-                result = await story(system)
+                result = await scenario(system)
                 system.end()
                 group.cancel_scope.cancel()
             return result
--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -1,4 +1,4 @@
-"""Turn the sentences of failure stories into actions on a virtual clock."""
+"""Turn the sentences of failure scenarios into actions on a virtual clock."""
 
 from __future__ import annotations
 
@@ -118,7 +118,7 @@
 
 
 @when(parsers.parse("the {role} is {fate}"))
-def strike(script, role, fate):
+def inject_fault(script, role, fate):
     def act(play):
         system = play.system
         host = play.executor if role == "executor" else system.leader()
@@ -221,7 +221,7 @@
 
 
 @when(parsers.parse("a minion with a task {fate}"))
-def strike_minion(script, fate):
+def inject_minion_fault(script, fate):
     def act(play):
         minion = next(m for m in play.system.minions.values() if m.starts)
         match fate:
--- a/tests/failures/play.py
+++ b/tests/failures/play.py
@@ -1,4 +1,4 @@
-"""Hold what a failure story does and what its caller hears."""
+"""Hold what a failure scenario does and what its caller hears."""
 
 from __future__ import annotations
 
--- a/tests/failures/test_failures.py
+++ b/tests/failures/test_failures.py
@@ -1,4 +1,4 @@
-"""Play every failure story."""
+"""Run every failure scenario."""
 
 from __future__ import annotations
 
