--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -27,7 +27,7 @@
 )
 # Tests with real processes and time limits share one worker, so that they do not
 # compete for the CPU.
-REAL_PROCESSES = ("tests/daemon/", "tests/platform/test_whole_path.py")
+REAL_PROCESSES = ("tests/daemon/", "tests/platform/test_end_to_end.py")
 
 
 def pytest_collection_modifyitems(items: list[pytest.Item]) -> None:
--- a/tests/failures/conftest.py
+++ b/tests/failures/conftest.py
@@ -64,7 +64,7 @@
 def submit(script, tasks, ms=1_000):
     def action(context):
         context.request = leave_job(tasks, ms, deadline_ms=120_000)
-        context.submit(context.system.bystander())
+        context.submit(context.system.non_leader())
 
     script.add(action)
 
@@ -73,7 +73,7 @@
 def submit_rerun(script, tasks):
     def action(context):
         context.request = leave_job(tasks, 1_000, service=RERUN, repeatable=True)
-        context.submit(context.system.bystander())
+        context.submit(context.system.non_leader())
 
     script.add(action)
 
@@ -111,7 +111,7 @@
 @when("the caller cancels the job at another host")
 def cancel(script):
     async def action(context):
-        host = context.system.bystander(context.executor)
+        host = context.system.non_leader(context.executor)
         context.answers.append(await context.system.cancel(host, context.key))
 
     script.add(action)
@@ -132,7 +132,7 @@
             case "partitioned from its peers":
                 system.isolate({name})
             case "partitioned from the platform":
-                system.cut_platform({name})
+                system.set_platform_unreachable_for({name})
             case "ordered to shut down":
                 context.callers.start_soon(_drain, context, host)
             case _:
@@ -150,7 +150,7 @@
 def resume_host(script):
     def action(context):
         context.system.resume(context.failed_host.config.host)
-        context.system.cut_platform(set())
+        context.system.set_platform_unreachable_for(set())
         context.system.network.heal()
 
     script.add(action)
@@ -184,7 +184,7 @@
             if host.config.data_centre == context.system.data_centres[centre]
         }
         context.system.isolate(names)
-        context.system.cut_platform(names)
+        context.system.set_platform_unreachable_for(names)
 
     script.add(action)
 
@@ -193,7 +193,7 @@
 def heal_partition(script):
     def action(context):
         context.system.network.heal()
-        context.system.cut_platform(set())
+        context.system.set_platform_unreachable_for(set())
 
     script.add(action)
 
@@ -201,7 +201,7 @@
 @when(parsers.parse("the platform goes {state}"))
 def set_platform(script, state):
     def action(context):
-        context.system.platform.switches.down = state == "down"
+        context.system.platform.faults.down = state == "down"
 
     script.add(action)
 
@@ -209,7 +209,7 @@
 @when(parsers.parse("the platform loses its next {count:d} replies"))
 def lose_replies(script, count):
     def action(context):
-        context.system.platform.switches.lose_replies = count
+        context.system.platform.faults.lose_replies = count
 
     script.add(action)
 
@@ -228,7 +228,7 @@
         minion = next(m for m in context.system.minions.values() if m.starts)
         match fault:
             case "dies":
-                minion.die()
+                minion.kill()
             case "fails every task":
                 minion.mode = MinionMode.FAILING
             case _:
@@ -255,7 +255,7 @@
 @when(parsers.parse("the platform lists minion {number:d} as leaving"))
 def list_as_leaving(script, number):
     def action(context):
-        context.system.relist(
+        context.system.set_listed_hosts(
             [
                 host.model_copy(update={"state": HostState.LEAVING})
                 if host.name == f"dc-0-minion-{number}"
